--- a/src/verbenawind/routing/admission.py
+++ b/src/verbenawind/routing/admission.py
@@ -1,4 +1,4 @@
-"""Lets requests in: shutdown and the callers' own limits, before anything else is done."""
+"""Admission control: refuses requests during shutdown or beyond the caller's limits."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from verbenawind.errors import Draining
 from verbenawind.kernel.messages import WorkKind
 from verbenawind.kernel.ports import Configuration, PeerBus
-from verbenawind.routing.callers import CallerLimits
+from verbenawind.routing.caller_limits import CallerLimits
 
 __all__ = ["Admission"]
 
@@ -15,32 +15,40 @@
 
 
 class Admission:
-    """Counts requests in and out, and refuses them while the daemon shuts down.
+    """Tracks requests in flight and refuses new ones while the daemon shuts down.
 
     Args:
-        configuration: The documents in force.
+        configuration: Provides the current documents.
         peers: The other daemons.
         clock: Time source.
     """
 
-    __slots__ = ("_active", "_callers", "_clock", "_configuration", "_idle", "_peers", "draining")
+    __slots__ = (
+        "_callers",
+        "_clock",
+        "_configuration",
+        "_idle",
+        "_in_flight",
+        "_peers",
+        "draining",
+    )
 
     def __init__(self, configuration: Configuration, peers: PeerBus, clock: Clock) -> None:
         self._configuration = configuration
         self._peers = peers
         self._clock = clock
         self._callers = CallerLimits()
-        self._active = 0
+        self._in_flight = 0
         self._idle = asyncio.Event()
         self._idle.set()
         self.draining = False
 
-    def enter(self, environment: str, caller: str, kind: WorkKind) -> CallerSpec | None:
-        """Count a request in and return the caller whose limits it counts against.
+    def admit(self, environment: str, caller: str, kind: WorkKind) -> CallerSpec | None:
+        """Admit a request and return the caller whose limits it counts against, if any.
 
         Raises:
             Draining: The daemon is shutting down.
-            RateLimited: The caller's rate or concurrency is exceeded.
+            RateLimited: The caller has exceeded its request rate or concurrency.
         """
         if self.draining:
             raise Draining(
@@ -49,17 +57,17 @@
         spec = self._caller_spec(environment, caller) if kind is WorkKind.APPLICATION else None
         if spec is not None:
             daemons = len(self._peers.peers()) + 1
-            self._callers.enter(environment, spec, daemons, self._clock.monotonic_s())
-        self._active += 1
+            self._callers.admit(environment, spec, daemons, self._clock.monotonic_s())
+        self._in_flight += 1
         self._idle.clear()
         return spec
 
-    def leave(self, environment: str, spec: CallerSpec | None) -> None:
-        """Count a request out."""
+    def release(self, environment: str, spec: CallerSpec | None) -> None:
+        """Record that an admitted request has ended."""
         if spec is not None:
-            self._callers.leave(environment, spec.name)
-        self._active -= 1
-        if not self._active:
+            self._callers.release(environment, spec.name)
+        self._in_flight -= 1
+        if not self._in_flight:
             self._idle.set()
 
     async def drain(self) -> None:
@@ -68,7 +76,7 @@
         await self._idle.wait()
 
     def document(self, environment: str) -> EnvironmentDocument | None:
-        """Return the document in force of an environment given as ``name/stage``."""
+        """Return the current document of an environment given as ``name/stage``."""
         name, _, stage = environment.partition("/")
         revision = self._configuration.current(name, stage)
         return revision.document if revision else None
--- a/src/verbenawind/routing/attempts.py
+++ b/src/verbenawind/routing/attempts.py
@@ -24,7 +24,7 @@
     WorkKind,
 )
 from verbenawind.kernel.ports import BackendClients
-from verbenawind.routing.answers import Answer
+from verbenawind.routing.generation_cache import Answer
 
 __all__ = ["CrashDetector", "Failure", "attempt_of", "check_event", "stream"]
 
--- a/src/verbenawind/routing/dispatcher.py
+++ b/src/verbenawind/routing/dispatcher.py
@@ -26,8 +26,8 @@
 )
 from verbenawind.metrics import Metrics
 from verbenawind.routing.admission import Admission
-from verbenawind.routing.answers import Answer, AnswerKeeper
 from verbenawind.routing.engine_pool import EnginePool
+from verbenawind.routing.generation_cache import Answer, AnswerKeeper
 from verbenawind.routing.policy import RoutingPolicy
 from verbenawind.routing.runs import Run, Runner
 from verbenawind.routing.services import ServiceDispatcher
@@ -106,13 +106,13 @@
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
         """Stream the whole answer, resuming on another engine when one fails."""
         try:
-            spec = self._admission.enter(request.environment, request.caller, request.kind)
+            spec = self._admission.admit(request.environment, request.caller, request.kind)
             try:
                 async with aclosing(self._answer(request)) as events:
                     async for event in events:
                         yield event
             finally:
-                self._admission.leave(request.environment, spec)
+                self._admission.release(request.environment, spec)
         except VerbenawindError as error:
             self._refused(request.request_id, error)
             raise
@@ -120,13 +120,13 @@
     async def call_service(self, request: ServiceRequest, spec: ServiceSpec) -> ServiceResponse:
         """Call a plain service; a non-idempotent request runs at most once."""
         try:
-            caller = self._admission.enter(
+            caller = self._admission.admit(
                 request.environment, request.caller, WorkKind.APPLICATION
             )
             try:
                 return await self.services.call(request, spec)
             finally:
-                self._admission.leave(request.environment, caller)
+                self._admission.release(request.environment, caller)
         except VerbenawindError as error:
             self._refused(request.request_id, error)
             raise
--- a/src/verbenawind/routing/engine_pool.py
+++ b/src/verbenawind/routing/engine_pool.py
@@ -11,7 +11,12 @@
 from verbenawind.kernel import Fleet, ServerView
 from verbenawind.kernel.messages import GenerateRequest, WorkKind
 from verbenawind.kernel.ports import PeerBus
-from verbenawind.routing.choice import (
+from verbenawind.routing.application_reserve import ApplicationReserve
+from verbenawind.routing.engine_limit import EngineLimit
+from verbenawind.routing.policy import RoutingPolicy
+from verbenawind.routing.pool_members import PoolMembers
+from verbenawind.routing.prefixes import prefix_slot
+from verbenawind.routing.server_choice import (
     Candidate,
     Choice,
     CrossingCost,
@@ -19,11 +24,6 @@
     choose_engine,
     distance,
 )
-from verbenawind.routing.limits import EngineLimit
-from verbenawind.routing.members import PoolMembers
-from verbenawind.routing.policy import RoutingPolicy
-from verbenawind.routing.prefixes import prefix_slot
-from verbenawind.routing.reserve import ApplicationReserve
 from verbenawind.routing.slots import SlotQueue, Ticket
 
 __all__ = ["EngineNeed", "EnginePool"]
@@ -182,12 +182,12 @@
         if not self._policy.reserve:
             return 0
         in_use = self.queue.kind_in_flight[WorkKind.APPLICATION]
-        wanted = in_use + self.queue.queued(WorkKind.APPLICATION)
+        demand = in_use + self.queue.queued(WorkKind.APPLICATION)
         return self._reserve.headroom(
             fraction=self.spec.application_reserve,
             slots=self._slots_total,
             in_use=in_use,
-            wanted=wanted,
+            demand=demand,
             now_s=self._clock.monotonic_s(),
         )
 
--- a/src/verbenawind/routing/policy.py
+++ b/src/verbenawind/routing/policy.py
@@ -1,4 +1,4 @@
-"""How a daemon routes; benches set the ways that are weighed side by side."""
+"""Switches for the routing mechanisms; benchmarks set them to compare variants."""
 
 import msgspec
 
@@ -6,13 +6,16 @@
 
 
 class RoutingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Which mechanisms are in force.
+    """Which routing mechanisms are enabled.
 
-    ``max_queued`` bounds the requests that wait at this daemon for one pool or service. With
-    ``fair`` callers share by weight and applications go first, otherwise first come, first
-    served. With ``shed`` a request that would miss its deadline is refused on arrival. With
-    ``limited`` engines get no more than their adaptive limit. With ``affinity`` prompts go to
-    the preferred engines of their prefix. With ``reserve`` applications keep their share.
+    Attributes:
+        max_queued: Maximum number of requests queued at this daemon per pool or service.
+        fair: Callers share slots by weight and application requests take precedence over
+            rollouts. Otherwise requests are served in order of arrival.
+        shed: A request that is predicted to miss its deadline is refused on arrival.
+        limited: The requests in flight on each engine stay within its adaptive limit.
+        affinity: Prompts are routed to the preferred engines of their prefix.
+        reserve: Slots are kept free for application requests.
     """
 
     max_queued: int = 20_000
--- a/src/verbenawind/routing/members.py
+++ b/src/verbenawind/routing/pool_members.py
@@ -4,8 +4,8 @@
 from verbenawind.kernel.messages import BackendKind
 from verbenawind.kernel.ports import PeerBus
 from verbenawind.kernel.rendezvous import top
-from verbenawind.routing.choice import distance
 from verbenawind.routing.prefixes import PrefixTable
+from verbenawind.routing.server_choice import distance
 
 __all__ = ["PoolMembers"]
 
--- a/src/verbenawind/routing/prefixes.py
+++ b/src/verbenawind/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Which engines a prompt's beginning prefers, the same at every daemon."""
+"""Prefix affinity: maps prompt prefixes to preferred engines, identically at every daemon."""
 
 from collections.abc import Sequence
 
@@ -13,17 +13,17 @@
 
 
 def prefix_slot(model: str, prompt: str) -> int:
-    """Return the slot of a prompt's beginning; prompts that begin alike share it."""
+    """Return the hash slot of a prompt's prefix; prompts with the same prefix share a slot."""
     head = f"{model}\0{prompt[:_PREFIX_CHARACTERS]}"
     return xxhash.xxh3_64_intdigest(head.encode()) % _PREFIX_SLOTS
 
 
 class PrefixTable:
-    """The engines that a prefix slot prefers, worked out when first asked for.
+    """The preferred engines of each prefix slot, computed on first use.
 
     Args:
-        members: The engines.
-        count: How many are kept for each slot.
+        members: Identifiers of the engines.
+        count: Number of preferred engines per slot.
     """
 
     __slots__ = ("_count", "_slots", "members")
@@ -35,7 +35,7 @@
 
     def preferred(self, slot: int) -> list[str]:
         """Return the preferred engines of a slot, best first."""
-        found = self._slots.get(slot)
-        if found is None:
-            found = self._slots[slot] = top(str(slot), self.members, self._count)
-        return found
+        engines = self._slots.get(slot)
+        if engines is None:
+            engines = self._slots[slot] = top(str(slot), self.members, self._count)
+        return engines
--- a/src/verbenawind/routing/retries.py
+++ b/src/verbenawind/routing/retries.py
@@ -6,34 +6,35 @@
 
 _BACKOFF_BASE_S = 0.05
 _BACKOFF_MAX_S = 2.0
-_RESERVE_RETRIES = 64.0
-_REFILL_PER_S = 1.0
+_MAX_RESERVE_RETRIES = 64.0
+_RESERVE_REFILL_PER_S = 1.0
 
 
 class RetryBudget:
-    """Allows retries up to a fraction of first attempts, plus a small steady reserve.
+    """Limits retries to a fraction of first attempts, plus a small reserve refilled over time.
 
-    The reserve lets one engine's whole batch move elsewhere in a pool that is otherwise idle.
+    The reserve allows all requests of one failed engine to be retried on other engines in a pool
+    with little other traffic.
 
     Args:
-        now_s: Monotonic time at which it starts full, in seconds.
+        now_s: Monotonic time of creation, in seconds; the budget starts full.
     """
 
-    __slots__ = ("_at_s", "_tokens")
+    __slots__ = ("_refilled_at_s", "_tokens")
 
     def __init__(self, now_s: float) -> None:
-        self._tokens = _RESERVE_RETRIES
-        self._at_s = now_s
+        self._tokens = _MAX_RESERVE_RETRIES
+        self._refilled_at_s = now_s
 
     def deposit(self, fraction: float) -> None:
-        """Count a first attempt."""
-        self._tokens = min(_RESERVE_RETRIES, self._tokens + fraction)
+        """Credit the budget for a first attempt."""
+        self._tokens = min(_MAX_RESERVE_RETRIES, self._tokens + fraction)
 
     def withdraw(self, now_s: float) -> bool:
-        """Count a retry; return whether the budget allows it."""
-        refilled = self._tokens + (now_s - self._at_s) * _REFILL_PER_S
-        self._tokens = min(_RESERVE_RETRIES, refilled)
-        self._at_s = now_s
+        """Charge a retry to the budget; return whether the budget allows it."""
+        refilled = self._tokens + (now_s - self._refilled_at_s) * _RESERVE_REFILL_PER_S
+        self._tokens = min(_MAX_RESERVE_RETRIES, refilled)
+        self._refilled_at_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -41,5 +42,5 @@
 
 
 def backoff_s(retry: int, rng: Random) -> float:
-    """Return a full-jitter wait before retry number *retry*, counted from 0, in seconds."""
+    """Return the delay before retry number *retry* (from 0), in seconds, with full jitter."""
     return rng.uniform(0.0, min(_BACKOFF_MAX_S, _BACKOFF_BASE_S * 2.0**retry))
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -20,11 +20,11 @@
 from verbenawind.kernel.messages import EngineEvent, GenerateRequest, WorkKind
 from verbenawind.kernel.ports import BackendClients, PeerBus
 from verbenawind.metrics import Metrics
-from verbenawind.routing.answers import Answer
 from verbenawind.routing.attempts import CrashDetector, Failure, stream
-from verbenawind.routing.choice import OTHER_REGION, Choice
 from verbenawind.routing.engine_pool import EngineNeed, EnginePool
+from verbenawind.routing.generation_cache import Answer
 from verbenawind.routing.retries import RetryBudget, backoff_s
+from verbenawind.routing.server_choice import OTHER_REGION, Choice
 from verbenawind.routing.slots import Ticket
 from verbenawind.routing.stats import RoutingStats
 from verbenawind.routing.suspects import Suspects, fingerprint
@@ -154,7 +154,7 @@
         assert server_id is not None
         run.answer.server_id = server_id
         wait_s = started_s - ticket.since_s
-        self._stats.waited(run.request.kind, wait_s)
+        self._stats.count_wait(run.request.kind, wait_s)
         self._metrics.observe_queue_wait(run.request.environment, run.request.kind, wait_s)
         if run.trial is not None:
             pool.trial_servers.add(server_id)
@@ -167,7 +167,7 @@
             async with aclosing(self._stream(run, pool, view, choice)) as events:
                 async for event in events:
                     yield event
-            pool.queue.holds[ticket.kind].observe(self._clock.monotonic_s() - started_s)
+            pool.queue.hold_times[ticket.kind].observe(self._clock.monotonic_s() - started_s)
         except (AdmissionRefused, BackendServerUnreachable, BackendServerFailed) as error:
             run.excluded.add(server_id)
             await self._failed(run, pool, view, error, started_s)
@@ -183,7 +183,7 @@
         request, answer = run.request, run.answer
         started_s = self._clock.monotonic_s()
         held, first = len(answer.token_ids), True
-        self._stats.chose(choice.affine)
+        self._stats.count_choice(choice.affine)
         events = stream(self._clients, view, request, answer, self._clock)
         sent_bytes, received_bytes = len(request.prompt), -answer.size_bytes
         try:
--- a/src/verbenawind/routing/service_sender.py
+++ b/src/verbenawind/routing/service_sender.py
@@ -19,8 +19,8 @@
     WorkKind,
 )
 from verbenawind.kernel.ports import BackendClients, PeerBus
-from verbenawind.routing.choice import Choice, choose_service_host
 from verbenawind.routing.policy import RoutingPolicy
+from verbenawind.routing.server_choice import Choice, choose_service_host
 from verbenawind.routing.slots import SlotQueue, Ticket
 
 __all__ = ["ServiceSender", "Turn"]
@@ -112,7 +112,7 @@
             raise
         finally:
             turn.give_back()
-        turn.queue.holds[turn.ticket.kind].observe(self._clock.monotonic_s() - started_s)
+        turn.queue.hold_times[turn.ticket.kind].observe(self._clock.monotonic_s() - started_s)
         return response
 
     def _queue(self, spec: ServiceSpec) -> SlotQueue:
--- a/src/verbenawind/routing/services.py
+++ b/src/verbenawind/routing/services.py
@@ -19,7 +19,7 @@
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import ServiceRequest, ServiceResponse
 from verbenawind.kernel.ports import BackendClients, ObjectStore, PeerBus, TableStore
-from verbenawind.routing.once import OnceCaller
+from verbenawind.routing.at_most_once import OnceCaller
 from verbenawind.routing.policy import RoutingPolicy
 from verbenawind.routing.retries import RetryBudget, backoff_s
 from verbenawind.routing.service_sender import ServiceSender
--- a/src/verbenawind/routing/slots.py
+++ b/src/verbenawind/routing/slots.py
@@ -6,10 +6,10 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import DeadlineExceeded, NoBackendServer, Overloaded
 from verbenawind.kernel.messages import WorkKind
-from verbenawind.routing.choice import Choice
 from verbenawind.routing.fair_queue import FairQueue
-from verbenawind.routing.holds import HoldTimes
+from verbenawind.routing.hold_times import HoldTimeEstimator
 from verbenawind.routing.policy import RoutingPolicy
+from verbenawind.routing.server_choice import Choice
 
 __all__ = ["SlotQueue", "Ticket"]
 
@@ -99,7 +99,7 @@
         "_name",
         "_policy",
         "_pumper",
-        "holds",
+        "hold_times",
         "in_flight",
         "kind_in_flight",
     )
@@ -117,7 +117,7 @@
         self._policy = policy
         self._lanes: dict[tuple[WorkKind, Hashable], FairQueue[Ticket]] = {}
         self._pumper: asyncio.Task[None] | None = None
-        self.holds = {kind: HoldTimes() for kind in WorkKind}
+        self.hold_times = {kind: HoldTimeEstimator() for kind in WorkKind}
         self.in_flight: dict[str, int] = {}
         self.kind_in_flight = dict.fromkeys(WorkKind, 0)
 
@@ -132,9 +132,9 @@
     def turns_per_s(self) -> float:
         """Return how many slots are likely to come free each second; 0 when unknown."""
         return sum(
-            self.kind_in_flight[kind] / holds.mean_s
-            for kind, holds in self.holds.items()
-            if holds.mean_s
+            self.kind_in_flight[kind] / hold_times.mean_s
+            for kind, hold_times in self.hold_times.items()
+            if hold_times.mean_s
         )
 
     async def acquire(self, ticket: Ticket) -> Choice:
@@ -197,7 +197,7 @@
         ahead = 0.0
         for (kind, _), lane in self._lanes.items():
             if kind is ticket.kind:
-                ahead += lane.ahead_of(self._flow(ticket), ticket.weight)
+                ahead += lane.estimate_ahead(self._flow(ticket), ticket.weight)
             elif kind is WorkKind.APPLICATION:
                 ahead += len(lane)
         rate = self.turns_per_s()
@@ -246,7 +246,7 @@
         if not self._policy.shed:
             return
         wait_s = self.predicted_wait_s(ticket)
-        if wait_s and wait_s + self.holds[ticket.kind].likely_s() > remaining_s:
+        if wait_s and wait_s + self.hold_times[ticket.kind].upper_estimate_s() > remaining_s:
             raise Overloaded(
                 f"{self._name} would start request {ticket.request_id} in {wait_s:.3f} s, "
                 f"its deadline is in {remaining_s:.3f} s",
@@ -292,7 +292,7 @@
         remaining_s = ticket.deadline_s - self._clock.monotonic_s()
         if not self._policy.shed or ticket.resumed:
             return remaining_s <= 0
-        return remaining_s <= self.holds[ticket.kind].mean_s
+        return remaining_s <= self.hold_times[ticket.kind].mean_s
 
     def _enter(self, ticket: Ticket, server_id: str) -> None:
         self.in_flight[server_id] = self.in_flight.get(server_id, 0) + 1
--- a/src/verbenawind/routing/stats.py
+++ b/src/verbenawind/routing/stats.py
@@ -1,4 +1,4 @@
-"""Counts what routing did, for metrics and benches."""
+"""Routing counters for metrics and benchmarks."""
 
 from collections import Counter, deque
 
@@ -6,11 +6,14 @@
 
 __all__ = ["RoutingStats"]
 
-_KEPT_WAITS = 100_000
+_MAX_RECENT_WAITS = 100_000
 
 
 class RoutingStats:
-    """Counters of one daemon's dispatcher; waits are the most recent ones, in seconds."""
+    """Counters of one daemon's dispatcher.
+
+    ``waits_s`` holds the most recent queue waits per kind of work, in seconds.
+    """
 
     __slots__ = (
         "affine_choices",
@@ -28,14 +31,14 @@
         self.retries = 0
         self.refusals: Counter[str] = Counter()
         self.waits_s: dict[WorkKind, deque[float]] = {
-            kind: deque(maxlen=_KEPT_WAITS) for kind in WorkKind
+            kind: deque(maxlen=_MAX_RECENT_WAITS) for kind in WorkKind
         }
 
-    def chose(self, affine: bool) -> None:
-        """Count a choice, and whether it was the prefix's first engine."""
+    def count_choice(self, affine: bool) -> None:
+        """Count an engine choice and whether it was the first preference of the prefix."""
         self.choices += 1
         self.affine_choices += affine
 
-    def waited(self, kind: WorkKind, wait_s: float) -> None:
-        """Count a turn after a wait in the queue."""
+    def count_wait(self, kind: WorkKind, wait_s: float) -> None:
+        """Record how long a request waited in the queue before it got a slot."""
         self.waits_s[kind].append(wait_s)
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -13,14 +13,14 @@
     WorkKind,
 )
 from verbenawind.kernel.rendezvous import owner, top
+from verbenawind.routing.application_reserve import ApplicationReserve
 from verbenawind.routing.attempts import check_event
-from verbenawind.routing.callers import CallerLimits
-from verbenawind.routing.choice import Candidate, CrossingCost, Tier, choose_engine
+from verbenawind.routing.caller_limits import CallerLimits
+from verbenawind.routing.engine_limit import EngineLimit
 from verbenawind.routing.fair_queue import FairQueue
-from verbenawind.routing.limits import EngineLimit
 from verbenawind.routing.prefixes import PrefixTable
-from verbenawind.routing.reserve import ApplicationReserve
 from verbenawind.routing.retries import RetryBudget, backoff_s
+from verbenawind.routing.server_choice import Candidate, CrossingCost, Tier, choose_engine
 from verbenawind.routing.trials import TrialAsk, _PoolTrials
 
 CROSSING = CrossingCost(
@@ -153,9 +153,9 @@
     def test_reserve_follows_recent_need(self) -> None:
         """Without applications one slot is kept; with many, up to their share; later it decays."""
         reserve = ApplicationReserve(0.0)
-        idle = reserve.headroom(fraction=0.25, slots=64, in_use=0, wanted=0, now_s=1.0)
-        busy = reserve.headroom(fraction=0.25, slots=64, in_use=4, wanted=40, now_s=2.0)
-        later = reserve.headroom(fraction=0.25, slots=64, in_use=0, wanted=0, now_s=300.0)
+        idle = reserve.headroom(fraction=0.25, slots=64, in_use=0, demand=0, now_s=1.0)
+        busy = reserve.headroom(fraction=0.25, slots=64, in_use=4, demand=40, now_s=2.0)
+        later = reserve.headroom(fraction=0.25, slots=64, in_use=0, demand=0, now_s=300.0)
         assert (idle, busy, later) == (1, 12, 2)
 
 
@@ -195,11 +195,11 @@
         let_in = 0
         for tick in range(1000):
             try:
-                limits.enter("e", self.SPEC, 1, tick / 100)
+                limits.admit("e", self.SPEC, 1, tick / 100)
             except RateLimited as error:
                 assert error.retry_after_s is not None and 0 < error.retry_after_s <= 0.1
             else:
-                limits.leave("e", "desk")
+                limits.release("e", "desk")
                 let_in += 1
         assert 105 <= let_in <= 111
 
@@ -207,10 +207,10 @@
         """One of ten daemons lets in twice its even share."""
         limits = CallerLimits()
         for _ in range(10):
-            limits.enter("e", self.SPEC, 10, 0.0)
+            limits.admit("e", self.SPEC, 10, 0.0)
         with pytest.raises(RateLimited):
             for _ in range(11):
-                limits.enter("e", self.SPEC, 10, 10.0)
+                limits.admit("e", self.SPEC, 10, 10.0)
 
 
 class TestCheckEvent:
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -5,8 +5,8 @@
 
 from verbenawind.clock import LoopClock
 from verbenawind.kernel.messages import WorkKind
-from verbenawind.routing.choice import Choice
 from verbenawind.routing.policy import RoutingPolicy
+from verbenawind.routing.server_choice import Choice
 from verbenawind.routing.slots import SlotQueue, Ticket
 from verbenawind.standins.world import run_virtual
 
