--- a/src/verbenawind/routing/dispatcher.py
+++ b/src/verbenawind/routing/dispatcher.py
@@ -191,10 +191,10 @@
         document = self._admission.document(request.environment)
         if document is not None:
             pool.spec = document.pool(request.pool) or pool.spec
-            pool.crossing = document.cross_region
+            pool.cross_region_spec = document.cross_region
         return pool
 
     def _pool_changed(self, view: ServerView) -> None:
         pool = self._pools.get(view.server.group)
         if pool is not None:
-            pool.refresh_now()
+            pool.request_refresh()
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -24,7 +24,7 @@
 from verbenawind.routing.engine_pool import EngineNeed, EnginePool
 from verbenawind.routing.generation_cache import Answer
 from verbenawind.routing.retries import RetryBudget, backoff_s
-from verbenawind.routing.server_choice import OTHER_REGION, Choice
+from verbenawind.routing.server_choice import OTHER_REGION_DISTANCE, Choice
 from verbenawind.routing.slots import Ticket
 from verbenawind.routing.stats import RoutingStats
 from verbenawind.routing.suspects import Suspects, fingerprint
@@ -183,7 +183,7 @@
         request, answer = run.request, run.answer
         started_s = self._clock.monotonic_s()
         held, first = len(answer.token_ids), True
-        self._stats.count_choice(choice.affine)
+        self._stats.count_choice(choice.is_first_preference)
         events = stream(self._clients, view, request, answer, self._clock)
         sent_bytes, received_bytes = len(request.prompt), -answer.size_bytes
         try:
@@ -192,7 +192,7 @@
                 if first:
                     first = False
                     waited_s = self._clock.monotonic_s() - started_s
-                    pool.observe_start(view.server.server_id, waited_s)
+                    pool.observe_ttft(view.server.server_id, waited_s)
                 yield event
                 if run.trial is not None and len(answer.token_ids) - held >= _TRIAL_TOKENS:
                     await self._pass_trial(run)
@@ -200,7 +200,7 @@
         finally:
             await events.aclose()
             received_bytes += answer.size_bytes
-            if choice.distance == OTHER_REGION:
+            if choice.distance == OTHER_REGION_DISTANCE:
                 self._count_crossing(view, sent_bytes, received_bytes)
 
     def _count_crossing(self, view: ServerView, sent_bytes: int, received_bytes: int) -> None:
@@ -222,7 +222,7 @@
             return
         server_id = view.server.server_id
         if isinstance(error, AdmissionRefused):
-            pool.refuse(server_id)
+            pool.record_refusal(server_id)
             self._fleet.suspect(server_id, error.retry_after_s or _REFUSED_S)
             # The engine's report says whether it refuses because it leaves.
             await self._crashes.diagnose(view)
--- a/src/verbenawind/routing/server_choice.py
+++ b/src/verbenawind/routing/server_choice.py
@@ -1,4 +1,4 @@
-"""Chooses a backend server for one attempt: values in, choice and reason out."""
+"""Selects the backend server for one attempt, as pure functions without I/O."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,25 +8,27 @@
 from verbenawind.kernel.messages import Location
 
 __all__ = [
-    "OTHER_REGION",
+    "OTHER_REGION_DISTANCE",
     "Candidate",
     "Choice",
-    "CrossingCost",
+    "CrossRegionCost",
     "Tier",
     "choose_engine",
     "choose_service_host",
     "distance",
 ]
 
-OTHER_REGION = 2
-_BOUNDED_LOAD = 1.25
+OTHER_REGION_DISTANCE = 2
+_MAX_LOAD_TO_MEAN = 1.25
 _BYTES_PER_GIB = 2.0**30
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """A chosen server and why; ``server_id`` is None when none may take the request now.
+    """The result of a server selection, with its reason.
 
-    ``usable`` is False when none could take it even if it were idle.
+    ``server_id`` is None if no server can accept the request now. ``usable`` is False if no
+    server could accept it even when idle. ``considered`` is the number of servers examined.
+    ``is_first_preference`` says whether the server is the most preferred one of the prefix.
     """
 
     server_id: str | None
@@ -34,14 +36,15 @@
     considered: int
     usable: bool = True
     distance: int = 0
-    affine: bool = False
+    is_first_preference: bool = False
 
 
 class Candidate(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine that serves the model freshly enough and is neither leaving nor suspected.
+    """An engine that serves a recent enough version of the model, not leaving and not suspected.
 
-    ``preference`` is its place among the prefix's preferred engines, None when it is none of
-    them; ``load`` is the corrected load relative to its capacity; ``free`` counts slots.
+    ``preference`` is its rank among the preferred engines of the prefix, None if it is not among
+    them. ``load`` is the estimated number of requests on it, this daemon's and others', divided
+    by its capacity. ``free`` is the number of slots that this daemon may still use on it.
     """
 
     server_id: str
@@ -51,7 +54,7 @@
 
 
 class Tier(msgspec.Struct, frozen=True, kw_only=True):
-    """The candidates at one distance, and the wait that is likely there, in seconds."""
+    """The candidates at one distance, and the expected queue wait for them, in seconds."""
 
     distance: int
     candidates: tuple[Candidate, ...]
@@ -59,8 +62,8 @@
     wait_s: float = 0.0
 
 
-class CrossingCost(msgspec.Struct, frozen=True, kw_only=True):
-    """What it costs to serve a request from another region."""
+class CrossRegionCost(msgspec.Struct, frozen=True, kw_only=True):
+    """The cost of serving a request from another region."""
 
     size_bytes: int
     price_per_gib: float
@@ -68,16 +71,17 @@
     added_s: float
 
     def price(self) -> float:
-        """Return the price of the bytes and of the added time."""
+        """Return the price of the transferred bytes plus that of the added latency."""
         bytes_price = self.size_bytes / _BYTES_PER_GIB * self.price_per_gib
         return bytes_price + self.added_s * self.waiting_price_per_s
 
 
-def choose_engine(tiers: Sequence[Tier], crossing: CrossingCost) -> Choice:
+def choose_engine(tiers: Sequence[Tier], cross_region: CrossRegionCost) -> Choice:
     """Return an engine of the nearest tier that has a free slot.
 
-    Another region is chosen only when waiting nearer costs more than crossing. Within a tier a
-    preferred engine of the prefix is taken unless its load exceeds 1.25 times the mean.
+    If nearer engines exist but are all busy, another region is chosen only when waiting for them
+    costs more than the cross-region request. Within a tier a preferred engine of the prefix is
+    chosen unless its load exceeds 1.25 times the mean of the engines with free slots.
     """
     considered = 0
     nearer: Tier | None = None
@@ -86,41 +90,43 @@
         if not tier.candidates:
             continue
         free = [candidate for candidate in tier.candidates if candidate.free > 0]
-        if free and tier.distance == OTHER_REGION and nearer is not None:
-            waiting = nearer.wait_s * crossing.waiting_price_per_s
-            if waiting <= crossing.price():
-                return _none("waiting nearer costs less than crossing regions", considered)
+        if free and tier.distance == OTHER_REGION_DISTANCE and nearer is not None:
+            waiting = nearer.wait_s * cross_region.waiting_price_per_s
+            if waiting <= cross_region.price():
+                return _no_choice(
+                    "waiting for a nearer engine costs less than using another region", considered
+                )
         if free:
-            return _within(free, tier.distance, considered)
+            return _choose_in_tier(free, tier.distance, considered)
         nearer = nearer or tier
     if nearer is None:
-        return msgspec.structs.replace(_none("no usable engine", considered), usable=False)
-    return _none("every usable engine is at its limit", considered)
+        return msgspec.structs.replace(_no_choice("no usable engine", considered), usable=False)
+    return _no_choice("every usable engine is at its concurrency limit", considered)
 
 
-def _none(reason: str, considered: int) -> Choice:
+def _no_choice(reason: str, considered: int) -> Choice:
     return Choice(server_id=None, reason=reason, considered=considered)
 
 
-def _within(free: Sequence[Candidate], far: int, considered: int) -> Choice:
-    bound = _BOUNDED_LOAD * sum(candidate.load for candidate in free) / len(free)
+def _choose_in_tier(free: Sequence[Candidate], tier_distance: int, considered: int) -> Choice:
+    max_load = _MAX_LOAD_TO_MEAN * sum(candidate.load for candidate in free) / len(free)
     preferred = [candidate for candidate in free if candidate.preference is not None]
     for candidate in sorted(preferred, key=lambda item: item.preference or 0):
-        if candidate.load <= max(bound, 1.0 / candidate.free):
+        if candidate.load <= max(max_load, 1.0 / candidate.free):
             return Choice(
                 server_id=candidate.server_id,
-                reason=f"preferred {candidate.preference} of the prefix within bounded load",
+                reason=f"preference {candidate.preference} of the prefix, within the load bound",
                 considered=considered,
-                distance=far,
-                affine=candidate.preference == 0,
+                distance=tier_distance,
+                is_first_preference=candidate.preference == 0,
             )
     best = min(free, key=lambda item: (item.load, item.server_id))
     return Choice(
         server_id=best.server_id,
-        reason=f"least loaded at {best.load:.2f}",
+        reason=f"least loaded engine, load {best.load:.2f}",
         considered=considered,
-        distance=far,
-        affine=best.preference == 0,
+        distance=tier_distance,
+        is_first_preference=best.preference == 0,
     )
 
 
@@ -132,11 +138,11 @@
     limit: int,
     now_s: float,
 ) -> Choice:
-    """Return the nearest host of a plain service with a free slot, the least loaded of those."""
+    """Return the nearest host of a service with a free slot, the least loaded one among equals."""
     usable = [view for view in views if view.usable(now_s)]
     free = [view for view in usable if in_flight.get(view.server.server_id, 0) < limit]
     if not free:
-        reason = "every host is at its limit" if usable else "no usable host"
+        reason = "every host is at its concurrency limit" if usable else "no usable host"
         return Choice(server_id=None, reason=reason, considered=len(views), usable=bool(usable))
 
     def rank(view: ServerView) -> tuple[int, int, str]:
@@ -146,14 +152,14 @@
     best = min(free, key=rank)
     return Choice(
         server_id=best.server.server_id,
-        reason="nearest with a free slot, then least in flight",
+        reason="nearest host with a free slot, then fewest requests in flight",
         considered=len(views),
         distance=distance(best.server.location, location),
     )
 
 
-def distance(there: Location, here: Location) -> int:
-    """Return 0 within a zone, 1 within a region, 2 between regions."""
-    if there.region != here.region:
-        return OTHER_REGION
-    return int(there.zone != here.zone)
+def distance(other: Location, own: Location) -> int:
+    """Return 0 within one zone, 1 within one region, 2 between regions."""
+    if other.region != own.region:
+        return OTHER_REGION_DISTANCE
+    return int(other.zone != own.zone)
--- a/src/verbenawind/routing/slots.py
+++ b/src/verbenawind/routing/slots.py
@@ -7,7 +7,7 @@
 from verbenawind.errors import DeadlineExceeded, NoBackendServer, Overloaded
 from verbenawind.kernel.messages import WorkKind
 from verbenawind.routing.fair_queue import FairQueue
-from verbenawind.routing.hold_times import HoldTimeEstimator
+from verbenawind.routing.holds import HoldTimeEstimator
 from verbenawind.routing.policy import RoutingPolicy
 from verbenawind.routing.server_choice import Choice
 
--- a/src/verbenawind/routing/stats.py
+++ b/src/verbenawind/routing/stats.py
@@ -34,10 +34,10 @@
             kind: deque(maxlen=_MAX_RECENT_WAITS) for kind in WorkKind
         }
 
-    def count_choice(self, affine: bool) -> None:
+    def count_choice(self, is_first_preference: bool) -> None:
         """Count an engine choice and whether it was the first preference of the prefix."""
         self.choices += 1
-        self.affine_choices += affine
+        self.affine_choices += is_first_preference
 
     def count_wait(self, kind: WorkKind, wait_s: float) -> None:
         """Record how long a request waited in the queue before it got a slot."""
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of routing's pure decisions."""
+"""Tests of the routing decisions that need no I/O."""
 
 from random import Random
 
@@ -13,17 +13,17 @@
     WorkKind,
 )
 from verbenawind.kernel.rendezvous import owner, top
-from verbenawind.routing.application_reserve import ApplicationReserve
 from verbenawind.routing.attempts import check_event
 from verbenawind.routing.caller_limits import CallerLimits
-from verbenawind.routing.engine_limit import EngineLimit
 from verbenawind.routing.fair_queue import FairQueue
+from verbenawind.routing.limits import EngineLimit
 from verbenawind.routing.prefixes import PrefixTable
+from verbenawind.routing.reserve import ApplicationReserve
 from verbenawind.routing.retries import RetryBudget, backoff_s
-from verbenawind.routing.server_choice import Candidate, CrossingCost, Tier, choose_engine
+from verbenawind.routing.server_choice import Candidate, CrossRegionCost, Tier, choose_engine
 from verbenawind.routing.trials import TrialAsk, _PoolTrials
 
-CROSSING = CrossingCost(
+CROSSING = CrossRegionCost(
     size_bytes=1 << 20, price_per_gib=1.0, waiting_price_per_s=0.001, added_s=0.02
 )
 
@@ -42,18 +42,18 @@
 
 class TestChoice:
     def test_preferred_engine_within_bounded_load(self) -> None:
-        """The prefix's engine is taken although another one is less loaded."""
+        """The preferred engine of the prefix is chosen although another one is less loaded."""
         engines = (candidate("a", load=0.5, preference=0), candidate("b", load=0.45))
         choice = choose_engine([tier(0, *engines)], CROSSING)
-        assert choice.server_id == "a" and choice.affine
+        assert choice.server_id == "a" and choice.is_first_preference
 
     def test_overloaded_preferred_engine_is_passed_over(self) -> None:
-        """The prefix's engine is left when its load is far above the mean."""
+        """The preferred engine is skipped when its load is far above the mean."""
         engines = (candidate("a", load=0.9, free=4, preference=0), candidate("b", load=0.1))
         assert choose_engine([tier(0, *engines)], CROSSING).server_id == "b"
 
     def test_nearest_free_tier_wins(self) -> None:
-        """An engine of the zone is taken before a less loaded one of the region."""
+        """An engine in the same zone is chosen over a less loaded one elsewhere in the region."""
         tiers = [tier(0, candidate("near", load=0.9)), tier(1, candidate("far"))]
         assert choose_engine(tiers, CROSSING).server_id == "near"
 
@@ -61,25 +61,25 @@
     def test_region_is_crossed_when_waiting_costs_more(
         self, wait_s: float, chosen: str | None
     ) -> None:
-        """A mebibyte at 1 a gibibyte costs about a second of waiting at 0.001."""
+        """Sending 1 MiB at 1 per GiB costs about as much as waiting 1 s at 0.001 per second."""
         tiers = [tier(0, candidate("near", free=0), wait_s=wait_s), tier(2, candidate("far"))]
         choice = choose_engine(tiers, CROSSING)
         assert choice.server_id == chosen and choice.usable
 
     def test_region_is_crossed_when_nothing_near_fits(self) -> None:
-        """With no fitting engine nearer, price is no reason to refuse."""
+        """Without a suitable engine nearer, another region is used whatever it costs."""
         choice = choose_engine([tier(0), tier(2, candidate("far"))], CROSSING)
         assert choice.server_id == "far"
 
     def test_no_fitting_engine_is_not_usable(self) -> None:
-        """Nothing that could take it even when idle is told apart from everything full."""
+        """``usable`` is False without a suitable engine and True if all of them are full."""
         assert not choose_engine([tier(0)], CROSSING).usable
         assert choose_engine([tier(0, candidate("a", free=0))], CROSSING).usable
 
 
 class TestFairQueue:
     def test_flood_does_not_delay_another_caller(self) -> None:
-        """A caller with one request is served next after at most one of the flood."""
+        """A single request of another caller waits for at most one item of the flood."""
         queue: FairQueue[str] = FairQueue()
         for index in range(100):
             queue.push(f"flood{index}", caller="flood", weight=1.0)
@@ -87,7 +87,7 @@
         assert "single" in [queue.pop() for _ in range(2)]
 
     def test_weights_set_the_shares(self) -> None:
-        """A caller of three times the weight gets three quarters of the turns."""
+        """A caller with three times the weight gets three quarters of the service."""
         queue: FairQueue[str] = FairQueue()
         for _ in range(100):
             queue.push("heavy", caller="heavy", weight=3.0)
@@ -96,7 +96,7 @@
         assert 58 <= served.count("heavy") <= 62
 
     def test_removed_items_are_not_served(self) -> None:
-        """An item that gave up is skipped, and the length counts the rest."""
+        """A removed item is skipped and no longer counted in the length."""
         queue: FairQueue[str] = FairQueue()
         first = queue.push("a", caller="x", weight=1.0)
         queue.push("b", caller="x", weight=1.0)
@@ -105,53 +105,53 @@
 
 
 class TestEngineLimit:
-    def limit(self, users: float = 2.0) -> EngineLimit:
-        """Return the limit of an engine of 16 places."""
+    def limit(self, daemons: float = 2.0) -> EngineLimit:
+        """Return the limit for an engine with a capacity of 16."""
         limit = EngineLimit(0.0)
-        limit.divide(capacity=16, users=users, running=0, waiting=0, rising=False)
+        limit.update(capacity=16, daemons=daemons, running=0, waiting=0, has_queued=False)
         return limit
 
     def test_starts_at_the_even_share(self) -> None:
-        """Two daemons get half of the engine each, and many at least one place."""
+        """Two daemons get half of the engine each; with many, each gets at least one slot."""
         assert self.limit(2.0).slots() == 8
         assert self.limit(100.0).slots() == 1
 
     def test_queueing_in_the_engine_lowers_it(self) -> None:
-        """Late first tokens lower the limit, and prompt ones raise it to the share again."""
+        """A long TTFT lowers the limit; a short one raises it back to the share."""
         limit = self.limit()
-        limit.divide(capacity=16, users=2.0, running=16, waiting=2, rising=False)
-        limit.observe_start(0.05, 1.0, used_up=True)
+        limit.update(capacity=16, daemons=2.0, running=16, waiting=2, has_queued=False)
+        limit.observe_ttft(0.05, 1.0, limit_reached=True)
         for at_s in range(2, 10):
-            limit.observe_start(1.0, float(at_s), used_up=True)
+            limit.observe_ttft(1.0, float(at_s), limit_reached=True)
         lowered = limit.slots()
         for at_s in range(10, 60):
-            limit.observe_start(0.05, at_s / 10 + 10, used_up=True)
+            limit.observe_ttft(0.05, at_s / 10 + 10, limit_reached=True)
         assert lowered <= 3 and limit.slots() == 8
 
-    def test_delay_with_free_places_is_not_the_engines(self) -> None:
-        """Late first tokens of an engine that reports free places do not lower the limit."""
+    def test_delay_with_free_slots_keeps_the_limit(self) -> None:
+        """A long TTFT does not lower the limit while the engine reports free slots."""
         limit = self.limit()
-        limit.observe_start(0.05, 1.0, used_up=True)
+        limit.observe_ttft(0.05, 1.0, limit_reached=True)
         for at_s in range(2, 10):
-            limit.observe_start(1.0, float(at_s), used_up=True)
+            limit.observe_ttft(1.0, float(at_s), limit_reached=True)
         assert limit.slots() == 8
 
-    def test_borrows_free_places_and_gives_them_back(self) -> None:
-        """Above its share a daemon follows the engine's reports of free places and of queues."""
+    def test_exceeds_the_share_only_while_slots_are_free(self) -> None:
+        """The limit exceeds the share while slots are free, and returns to it on queueing."""
         limit = self.limit()
-        limit.observe_start(0.05, 1.0, used_up=True)
-        limit.refuse(2.0)
+        limit.observe_ttft(0.05, 1.0, limit_reached=True)
+        limit.record_refusal(2.0)
         for _ in range(20):
-            limit.divide(capacity=16, users=2.0, running=8, waiting=0, rising=True)
+            limit.update(capacity=16, daemons=2.0, running=8, waiting=0, has_queued=True)
         borrowed = limit.slots()
         for _ in range(20):
-            limit.divide(capacity=16, users=2.0, running=16, waiting=3, rising=True)
+            limit.update(capacity=16, daemons=2.0, running=16, waiting=3, has_queued=True)
         assert borrowed == 16 and limit.slots() == 8
 
 
 class TestReserve:
     def test_reserve_follows_recent_need(self) -> None:
-        """Without applications one slot is kept; with many, up to their share; later it decays."""
+        """The reserve is one slot when idle, at most the share under load, then decays."""
         reserve = ApplicationReserve(0.0)
         idle = reserve.headroom(fraction=0.25, slots=64, in_use=0, demand=0, now_s=1.0)
         busy = reserve.headroom(fraction=0.25, slots=64, in_use=4, demand=40, now_s=2.0)
@@ -161,7 +161,7 @@
 
 class TestRetryBudget:
     def test_sustained_retries_are_a_fraction(self) -> None:
-        """Once the reserve is used, retries are a tenth of first attempts."""
+        """Once the reserve is used up, retries are limited to a tenth of first attempts."""
         budget = RetryBudget(0.0)
         while budget.withdraw(0.0):
             pass
@@ -172,7 +172,7 @@
         assert 95 <= allowed <= 101
 
     def test_backoff_is_full_jitter(self) -> None:
-        """Waits fill the range from zero up to a bound that doubles and then stays."""
+        """Delays are spread from zero to an upper bound that doubles per retry up to a maximum."""
         rng = Random(1)
         early = [backoff_s(0, rng) for _ in range(200)]
         late = [backoff_s(20, rng) for _ in range(200)]
@@ -190,9 +190,9 @@
     )
 
     def test_rate_is_held_after_a_burst(self) -> None:
-        """A second's burst is let in, then the rate; the refusal says when to come back."""
+        """A burst of one second is admitted, then the rate; refusals say when to retry."""
         limits = CallerLimits()
-        let_in = 0
+        admitted = 0
         for tick in range(1000):
             try:
                 limits.admit("e", self.SPEC, 1, tick / 100)
@@ -200,11 +200,11 @@
                 assert error.retry_after_s is not None and 0 < error.retry_after_s <= 0.1
             else:
                 limits.release("e", "desk")
-                let_in += 1
-        assert 105 <= let_in <= 111
+                admitted += 1
+        assert 105 <= admitted <= 111
 
     def test_daemons_divide_the_concurrency(self) -> None:
-        """One of ten daemons lets in twice its even share."""
+        """One of ten daemons admits up to twice its even share."""
         limits = CallerLimits()
         for _ in range(10):
             limits.admit("e", self.SPEC, 10, 0.0)
@@ -221,27 +221,27 @@
     def tokens(
         self, *, attempt_id: str = "a", start: int = 2, version: int | None = 1
     ) -> TokensGenerated:
-        """Return one token of the attempt."""
+        """Return an event with one token."""
         return TokensGenerated(
             attempt_id=attempt_id, start=start, token_ids=(7,), text="x", version=version
         )
 
     def test_next_tokens_and_right_end_pass(self) -> None:
-        """Tokens at the position held and an end of that length continue the answer."""
+        """Tokens at the expected position and an end event with the right count are accepted."""
         end = GenerationEnded(attempt_id="a", token_count=2, finish_reason="stop")
         check_event(self.ATTEMPT, self.tokens(), 2, WorkKind.ROLLOUT)
         check_event(self.ATTEMPT, self.tokens(version=None), 2, WorkKind.APPLICATION)
         check_event(self.ATTEMPT, end, 2, WorkKind.ROLLOUT)
 
     def test_end_of_another_length_is_truncated(self) -> None:
-        """An end mark that counts more or fewer tokens than came is no whole answer."""
+        """An end event that counts more or fewer tokens than were received means truncation."""
         for count in (1, 3):
             end = GenerationEnded(attempt_id="a", token_count=count, finish_reason="stop")
             with pytest.raises(StreamTruncated):
                 check_event(self.ATTEMPT, end, 2, WorkKind.APPLICATION)
 
     def test_foreign_repeated_skipped_and_unlabelled_tokens_fail(self) -> None:
-        """Another attempt's tokens, a gap, a repeat, and a sample's without version fail."""
+        """Tokens of another attempt, after a gap, repeated, or without a version are rejected."""
         for event in (
             self.tokens(attempt_id="b"),
             self.tokens(start=3),
@@ -279,14 +279,14 @@
 
 class TestRendezvous:
     def test_losing_a_member_moves_only_its_keys(self) -> None:
-        """Keys of the members that stay keep their owner."""
+        """Keys of the remaining members keep their owner."""
         members = [f"engine-{index}" for index in range(20)]
         before = {key: owner(key, members) for key in map(str, range(300))}
         after = {key: owner(key, members[1:]) for key in before}
         assert all(after[key] == old for key, old in before.items() if old != members[0])
 
-    def test_table_prefers_the_same_engines_everywhere(self) -> None:
-        """Daemons that list the engines in another order prefer the same ones."""
+    def test_preferences_are_independent_of_member_order(self) -> None:
+        """Preferences do not depend on the order in which the engines are listed."""
         members = [f"engine-{index}" for index in range(20)]
         tables = [PrefixTable(members, 3), PrefixTable(members[::-1], 3)]
         assert all(tables[0].preferred(slot) == tables[1].preferred(slot) for slot in range(50))
