--- a/src/verbenawind/routing/claims.py
+++ b/src/verbenawind/routing/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys in the table, so that a non-idempotent request runs at most once."""
+"""Claims on idempotency keys, stored in the table, for at-most-once execution of requests."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -13,12 +13,12 @@
 
 __all__ = ["Claim", "ClaimRecord", "ClaimState", "Claims", "claim_key", "request_digest"]
 
-_INLINE_BODY_BYTES = 4096
-_RECLAIM_ATTEMPTS = 3
+_MAX_INLINE_BODY_BYTES = 4096
+_MAX_CLAIM_ATTEMPTS = 3
 
 
 class ClaimState(StrEnum):
-    """How far a claimed request has come."""
+    """The execution state of a claimed request."""
 
     CLAIMED = "claimed"
     NOT_RUN = "not_run"
@@ -29,8 +29,8 @@
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The table row of one idempotency key.
 
-    ``ends_at_s`` is the Unix time, in seconds, by which the holder has recorded an outcome or
-    has lost it.
+    ``ends_at_s`` is the request's deadline as Unix time, in seconds. If the holder cannot be
+    reached and has recorded no outcome by then, the outcome is lost.
     """
 
     digest: str
@@ -44,9 +44,9 @@
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a key after an attempt to claim it.
+    """The state of an idempotency key after an attempt to claim it.
 
-    ``held`` means that the caller of ``claim`` alone may dispatch the request.
+    ``held`` is True if the attempt succeeded; only then may the request be dispatched.
     """
 
     key: str
@@ -57,25 +57,25 @@
 
 
 def claim_key(request: ServiceRequest) -> str:
-    """Return the table key under which the request's idempotency key is claimed."""
+    """Return the table key of the claim on the request's idempotency key."""
     parts = (request.environment, request.caller, request.service, request.idempotency_key or "")
     return f"claim/{request.environment}/{digest_hex(msgspec.json.encode(parts))}"
 
 
 def request_digest(request: ServiceRequest) -> str:
-    """Return the digest of everything that must be the same when a key is repeated."""
+    """Return a digest of everything that must match when an idempotency key is reused."""
     head = msgspec.json.encode((request.method, request.path, request.query))
     return digest_hex(head + b"\n" + request.body)
 
 
 class Claims:
-    """Claims keys and records outcomes.
+    """Claims idempotency keys and records the outcomes of requests.
 
     Args:
-        table: The table service's client.
-        objects: The object store's client; it takes answers that are too large for a row.
+        table: Client of the table service.
+        objects: Client of the object store, which holds response bodies too large for a row.
         clock: Time source.
-        holder: This daemon's identifier.
+        holder: Identifier of this daemon.
     """
 
     __slots__ = ("_clock", "_holder", "_objects", "_table")
@@ -87,15 +87,16 @@
         self._holder = holder
 
     async def claim(self, request: ServiceRequest, operation_id: str) -> Claim:
-        """Claim the request's key, or return who has it.
+        """Claim the request's key, or return the existing claim.
 
         Raises:
-            IdempotencyKeyReused: The key was claimed for another body.
-            StoreUnavailable: The table gave no answer, so nothing may be dispatched.
+            IdempotencyKeyReused: The key was claimed for a different request.
+            StoreUnavailable: The claim could not be confirmed, so the request must not be
+                dispatched.
         """
-        key, record = claim_key(request), self._claimed(request)
+        key, record = claim_key(request), self._new_record(request)
         expect_version = 0
-        for _ in range(_RECLAIM_ATTEMPTS):
+        for _ in range(_MAX_CLAIM_ATTEMPTS):
             write = Write(key=key, value=msgspec.json.encode(record), expect_version=expect_version)
             try:
                 await self._table.commit(Transaction(operation_id=operation_id, writes=(write,)))
@@ -118,15 +119,18 @@
             if known.record.state is not ClaimState.NOT_RUN:
                 return known
             expect_version = known.version
-        raise StoreUnavailable(f"claim of {key!r} was overtaken", effect_possible=False)
+        raise StoreUnavailable(
+            f"claim of {key!r} lost repeatedly to concurrent claims",
+            effect_possible=False,
+        )
 
     async def take_over(self, request: ServiceRequest, known: Claim, operation_id: str) -> Claim:
-        """Claim a key whose holder says that it never dispatched the request.
+        """Claim a key whose holder reports that it never dispatched the request.
 
         Raises:
-            StoreUnavailable: The table gave no answer.
+            StoreUnavailable: The table did not answer.
         """
-        record = self._claimed(request)
+        record = self._new_record(request)
         write = Write(
             key=known.key, value=msgspec.json.encode(record), expect_version=known.version
         )
@@ -143,22 +147,22 @@
         )
 
     async def read(self, key: str) -> Claim | None:
-        """Return what the table knows of a key; raises StoreUnavailable."""
+        """Read the claim on a key from the table; raises StoreUnavailable."""
         row = (await self._table.read([key])).get(key)
-        return _claim_of(row) if row else None
+        return _claim_from_row(row) if row else None
 
     async def record_not_run(self, claim: Claim) -> None:
         """Record that the request was never dispatched; raises StoreUnavailable."""
         await self._record(claim, msgspec.structs.replace(claim.record, state=ClaimState.NOT_RUN))
 
     async def record_unknown(self, claim: Claim) -> None:
-        """Record that the request was dispatched and its outcome is lost."""
+        """Record that the request was dispatched and its outcome is unknown."""
         await self._record(claim, msgspec.structs.replace(claim.record, state=ClaimState.UNKNOWN))
 
     async def record_ran(self, claim: Claim, response: ServiceResponse) -> None:
-        """Record the answer, its body in the object store when it is large."""
+        """Record the response, storing a large body in the object store."""
         inline, object_key = response.body, ""
-        if len(response.body) > _INLINE_BODY_BYTES:
+        if len(response.body) > _MAX_INLINE_BODY_BYTES:
             inline, object_key = b"", f"{claim.key}/{claim.operation_id}"
             await self._objects.put(object_key, response.body)
         record = msgspec.structs.replace(
@@ -172,7 +176,7 @@
         await self._record(claim, record)
 
     async def response(self, record: ClaimRecord) -> ServiceResponse | None:
-        """Return the recorded answer, None when its body is gone; raises StoreUnavailable."""
+        """Return the recorded response, None if its body is gone; raises StoreUnavailable."""
         body: bytes | None = record.body
         if record.object_key:
             body = await self._objects.get(record.object_key)
@@ -181,7 +185,7 @@
         headers: Mapping[str, str] = record.headers
         return ServiceResponse(status=record.status, headers=headers, body=body)
 
-    def _claimed(self, request: ServiceRequest) -> ClaimRecord:
+    def _new_record(self, request: ServiceRequest) -> ClaimRecord:
         remaining_s = max(0.0, request.deadline_s - self._clock.monotonic_s())
         return ClaimRecord(
             digest=request_digest(request),
@@ -201,11 +205,11 @@
         if record.digest != request_digest(request):
             raise IdempotencyKeyReused(
                 f"idempotency key {request.idempotency_key!r} of caller {request.caller!r} "
-                f"was used for another request to service {request.service!r}"
+                f"was already used for a different request to service {request.service!r}"
             )
 
 
-def _claim_of(row: Row) -> Claim:
+def _claim_from_row(row: Row) -> Claim:
     return Claim(
         key=row.key,
         operation_id=row.operation_id,
--- a/src/verbenawind/routing/service_sender.py
+++ b/src/verbenawind/routing/service_sender.py
@@ -1,4 +1,4 @@
-"""One call of a plain service: its turn, its host, the call itself."""
+"""Sends a service request once: waits for a slot, selects a host and makes the call."""
 
 import math
 
@@ -23,19 +23,19 @@
 from verbenawind.routing.server_choice import Choice, choose_service_host
 from verbenawind.routing.slots import SlotQueue, Ticket
 
-__all__ = ["ServiceSender", "Turn"]
+__all__ = ["ServiceSender", "SlotGrant"]
 
-_SUSPECT_S = 2.0
-_REFUSED_S = 0.2
+_SUSPICION_S = 2.0
+_REFUSED_SUSPICION_S = 0.2
 
 
-class Turn:
-    """A granted slot of a service host.
+class SlotGrant:
+    """A granted slot on a service host.
 
     Args:
-        queue: Whose slot it is.
-        ticket: The wait that was granted.
-        server_id: The host.
+        queue: The queue that granted the slot.
+        ticket: The ticket that the slot was granted to.
+        server_id: Identifier of the host.
     """
 
     __slots__ = ("queue", "server_id", "ticket")
@@ -45,20 +45,20 @@
         self.ticket = ticket
         self.server_id = server_id
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Free the slot."""
         self.queue.release(self.ticket, self.server_id)
 
 
 class ServiceSender:
-    """Waits for turns on service hosts and sends calls.
+    """Acquires slots on service hosts and sends requests to them.
 
     Args:
         fleet: The view of the backend servers.
         clients: Clients of the backend servers.
         clock: Time source.
-        peers: The other daemons; they share each host's limit.
-        policy: Bounds on what may wait.
+        peers: The other daemons, which share the concurrency limit of each host.
+        policy: Which mechanisms are enabled.
     """
 
     __slots__ = ("_clients", "_clock", "_fleet", "_limits", "_log", "_peers", "_policy", "_queues")
@@ -81,38 +81,42 @@
         self._queues: dict[str, SlotQueue] = {}
         self._log = structlog.get_logger("services")
 
-    def hosts(self, service: str) -> int:
-        """Return how many hosts of a service are known."""
+    def host_count(self, service: str) -> int:
+        """Return the number of known hosts of a service."""
         return len(self._fleet.group(BackendKind.SERVICE, service))
 
     def remaining_s(self, request: ServiceRequest) -> float:
-        """Return the time to the request's deadline, in seconds, 0 when it has passed."""
+        """Return the time until the request's deadline, in seconds, 0 if it has passed."""
         return max(0.0, request.deadline_s - self._clock.monotonic_s())
 
-    async def turn(self, request: ServiceRequest, spec: ServiceSpec, *, resumed: bool) -> Turn:
-        """Wait for a slot; raises as SlotQueue.acquire does."""
+    async def acquire(
+        self, request: ServiceRequest, spec: ServiceSpec, *, resumed: bool
+    ) -> SlotGrant:
+        """Wait for a slot on a host; raises the errors of ``SlotQueue.acquire``."""
         queue, ticket = self._queue(spec), self._ticket(request, resumed=resumed)
         choice = await queue.acquire(ticket)
         assert choice.server_id is not None
-        return Turn(queue, ticket, choice.server_id)
+        return SlotGrant(queue, ticket, choice.server_id)
 
-    async def send(self, request: ServiceRequest, turn: Turn) -> ServiceResponse:
-        """Send the request once and give the slot back; raises as ServiceClient.call does."""
+    async def send(self, request: ServiceRequest, grant: SlotGrant) -> ServiceResponse:
+        """Send the request once and release the slot; raises as ``ServiceClient.call`` does."""
         started_s = self._clock.monotonic_s()
         try:
-            view = self._fleet.view(turn.server_id)
+            view = self._fleet.view(grant.server_id)
             if view is None or view.leaving:
-                raise BackendServerUnreachable(f"service host {turn.server_id} has left")
+                raise BackendServerUnreachable(
+                    f"service host {grant.server_id} is leaving or no longer registered"
+                )
             response = await self._clients.service(view.server).call(request)
         except (BackendServerUnreachable, BackendServerFailed):
-            self._fleet.suspect(turn.server_id, _SUSPECT_S)
+            self._fleet.suspect(grant.server_id, _SUSPICION_S)
             raise
         except AdmissionRefused as error:
-            self._fleet.suspect(turn.server_id, error.retry_after_s or _REFUSED_S)
+            self._fleet.suspect(grant.server_id, error.retry_after_s or _REFUSED_SUSPICION_S)
             raise
         finally:
-            turn.give_back()
-        turn.queue.hold_times[turn.ticket.kind].observe(self._clock.monotonic_s() - started_s)
+            grant.release()
+        grant.queue.hold_times[grant.ticket.kind].observe(self._clock.monotonic_s() - started_s)
         return response
 
     def _queue(self, spec: ServiceSpec) -> SlotQueue:
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -1,4 +1,4 @@
-"""Tests of calls to plain services: idempotent retries and requests at most once."""
+"""Tests of service requests: retries of idempotent ones, at-most-once execution of others."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -33,7 +33,7 @@
     idempotent: bool = False,
     timeout_s: float = 5.0,
 ) -> ServiceRequest:
-    """Return a request to book something."""
+    """Return a booking request, non-idempotent by default."""
     return ServiceRequest(
         request_id="req-1",
         environment="kallioniemi/production",
@@ -51,7 +51,7 @@
 
 
 async def start(world: World, hosts: int = 2, daemons: int = 2) -> list[Core]:
-    """Start daemons over hosts of the service."""
+    """Start service hosts and daemons that route to them."""
     for index in range(hosts):
         world.add_service(f"orders-{index}", "orders")
     cores = [world.add_daemon(f"daemon-{index}") for index in range(daemons)]
@@ -61,12 +61,12 @@
 
 
 def runs(world: World, key: str = "k1") -> int:
-    """Return how often the booking ran on any host."""
+    """Return how many times the booking ran, summed over all hosts."""
     return sum(service.runs[key] for service in world.services.values())
 
 
 def scenario(work: Callable[[World], Awaitable[Any]]) -> Any:
-    """Run *work* in a fresh world on virtual time."""
+    """Run *work* in a new world on virtual time."""
 
     async def whole() -> Any:
         world = World(seed=3)
@@ -79,7 +79,7 @@
 
 
 async def outcome(awaitable: Awaitable[ServiceResponse]) -> ServiceResponse | VerbenawindError:
-    """Return the answer or the error."""
+    """Return the response or the error raised instead."""
     try:
         return await awaitable
     except VerbenawindError as error:
@@ -88,7 +88,7 @@
 
 class TestIdempotent:
     def test_failed_host_is_retried_elsewhere(self) -> None:
-        """An idempotent call whose host dropped the connection is answered by another host."""
+        """An idempotent request whose host drops the connection is retried on another host."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -101,8 +101,8 @@
 
         scenario(work)
 
-    def test_retries_end_with_the_budget(self) -> None:
-        """While every host is away, retries stop at the deadline with a true outcome."""
+    def test_retries_end_at_the_deadline(self) -> None:
+        """With every host unreachable, retries end by the deadline with a correct outcome."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -116,8 +116,8 @@
 
         scenario(work)
 
-    def test_refusal_after_a_lost_answer_is_not_called_not_run(self) -> None:
-        """A call that ran once and was then refused everywhere may have run."""
+    def test_refusal_after_a_lost_response_may_have_run(self) -> None:
+        """A request that ran, lost its response and was then refused reports may_have_run."""
 
         async def work(world: World) -> None:
             cores = await start(world, hosts=1)
@@ -138,7 +138,7 @@
 
 class TestAtMostOnce:
     def test_key_is_required(self) -> None:
-        """A non-idempotent request without a key is refused as not run."""
+        """A non-idempotent request without an idempotency key is refused as not_run."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -148,8 +148,8 @@
 
         scenario(work)
 
-    def test_repeat_gets_recorded_answer_at_any_daemon(self) -> None:
-        """Repeats at the same and at another daemon return the first answer without a run."""
+    def test_repeat_gets_recorded_response_at_any_daemon(self) -> None:
+        """Repeats at the same and at another daemon return the first response without a rerun."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -161,8 +161,8 @@
 
         scenario(work)
 
-    def test_large_answer_is_recorded_whole(self) -> None:
-        """An answer too large for a row comes back whole at another daemon."""
+    def test_large_response_is_recorded_completely(self) -> None:
+        """A response too large for a table row is returned completely by another daemon."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -175,7 +175,7 @@
         scenario(work)
 
     def test_concurrent_repeats_run_once(self) -> None:
-        """Repeats that come while the request runs, here and elsewhere, join it."""
+        """Repeats during execution, at the same or another daemon, wait for the same run."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -190,7 +190,7 @@
         scenario(work)
 
     def test_other_body_is_refused(self) -> None:
-        """Another body under the same key is refused at both daemons and does not run."""
+        """A different body under the same key is refused by both daemons and does not run."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -202,8 +202,8 @@
 
         scenario(work)
 
-    def test_lost_service_answer_is_never_sent_again(self) -> None:
-        """After a dropped connection the caller and every repeat get may_have_run at once."""
+    def test_lost_service_response_is_never_resent(self) -> None:
+        """After a dropped connection the request and its repeats fail with may_have_run."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -217,8 +217,8 @@
 
         scenario(work)
 
-    def test_absent_table_refuses_as_not_run(self) -> None:
-        """With the table down nothing is dispatched, and the key works once it is back."""
+    def test_unavailable_table_refuses_as_not_run(self) -> None:
+        """With the table down nothing is dispatched; the key is usable after it recovers."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -234,8 +234,8 @@
         scenario(work)
 
     @pytest.mark.parametrize("lost", [1, 2, 3])
-    def test_lost_claim_answer_is_resolved(self, lost: int) -> None:
-        """A claim whose answer was lost is read back, and the request runs once."""
+    def test_lost_claim_response_is_resolved(self, lost: int) -> None:
+        """A claim whose table response was lost is read back, and the request runs once."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -247,7 +247,7 @@
         scenario(work)
 
     def test_unresolved_claim_is_not_dispatched(self) -> None:
-        """A claim that stays unresolved is refused as not run; its holder may claim it later."""
+        """An unresolved claim is refused as not_run, and its holder may claim the key later."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -263,7 +263,7 @@
         scenario(work)
 
     def test_crash_after_claim_makes_repeats_unknown(self) -> None:
-        """A repeat of a key whose holder died between claim and outcome gets may_have_run."""
+        """A repeat fails with may_have_run if the holder died between claim and outcome."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -275,8 +275,8 @@
 
         scenario(work)
 
-    def test_unreachable_hosts_leave_the_key_free(self) -> None:
-        """When no host took a byte the refusal is not_run, and a repeat elsewhere may run."""
+    def test_unreachable_hosts_leave_the_key_usable(self) -> None:
+        """If no host was reachable the outcome is not_run, and a repeat elsewhere may run."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -292,8 +292,8 @@
 
         scenario(work)
 
-    def test_caller_that_leaves_does_not_lose_the_outcome(self) -> None:
-        """A request whose caller went away while it ran is recorded for its repeat."""
+    def test_caller_disconnect_does_not_lose_the_outcome(self) -> None:
+        """The outcome of a request whose caller disconnected is recorded for its repeat."""
 
         async def work(world: World) -> None:
             cores = await start(world)
@@ -308,8 +308,8 @@
 
         scenario(work)
 
-    def test_outcome_is_recorded_after_the_table_returns(self) -> None:
-        """An outcome that could not be written at first is written when the table is back."""
+    def test_outcome_is_recorded_after_the_table_recovers(self) -> None:
+        """An outcome that could not be written is written once the table is available again."""
 
         async def work(world: World) -> None:
             cores = await start(world)
