--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -27,8 +27,8 @@
 from verbenawind.routing.server_choice import OTHER_REGION_DISTANCE, Choice
 from verbenawind.routing.slots import Ticket
 from verbenawind.routing.stats import RoutingStats
-from verbenawind.routing.suspects import Suspects, fingerprint
-from verbenawind.routing.trials import TrialAsk, TrialGate
+from verbenawind.routing.suspects import Suspects, request_fingerprint
+from verbenawind.routing.trials import TrialCoordinator, TrialRequest
 
 __all__ = ["Run", "Runner"]
 
@@ -60,13 +60,13 @@
     def __init__(self, request: GenerateRequest, answer: Answer) -> None:
         self.request = request
         self.answer = answer
-        self.fingerprint = fingerprint(request)
+        self.fingerprint = request_fingerprint(request)
         avoided = answer.server_id if request.move else None
         self.excluded = {avoided} if avoided else set[str]()
         self.retry = 0
         self.dispatched = bool(answer.token_ids)
         self.crash_age_s = 0.0
-        self.trial: TrialAsk | None = None
+        self.trial: TrialRequest | None = None
 
     def outcome(self) -> Outcome:
         """Return what is true of a request that gives up now."""
@@ -105,7 +105,7 @@
         self._stats = stats
         self._budgets: dict[tuple[str, WorkKind], RetryBudget] = {}
         self._suspects = Suspects(clock, peers)
-        self._trials = TrialGate(fleet, peers, clock)
+        self._trials = TrialCoordinator(fleet, peers, clock)
         self._crashes = CrashDetector(fleet, clients)
         self._log = structlog.get_logger("routing")
 
@@ -115,8 +115,8 @@
         budget = self._budget(request)
         budget.deposit(pool.spec.retry_budget)
         while True:
-            self._suspects.check(request, run.fingerprint, run.outcome())
-            if self._suspects.suspected(run.fingerprint):
+            self._suspects.raise_if_convicted(request, run.fingerprint, run.outcome())
+            if self._suspects.is_suspected(run.fingerprint):
                 await self._wait_for_trial(run)
             try:
                 async with aclosing(self._attempt(run, pool)) as events:
@@ -162,7 +162,7 @@
         try:
             if view is None or view.leaving:
                 raise BackendServerUnreachable(f"engine {server_id} has left")
-            if run.trial is None and self._suspects.suspected(run.fingerprint):
+            if run.trial is None and self._suspects.is_suspected(run.fingerprint):
                 raise BackendServerUnreachable("the request came under suspicion in the queue")
             async with aclosing(self._stream(run, pool, view, choice)) as events:
                 async for event in events:
@@ -239,7 +239,7 @@
         if run.trial is not None:
             self._suspects.convict(run.fingerprint, crash_id)
         else:
-            self._suspects.accuse(run.fingerprint, crash_id)
+            self._suspects.add_suspicion(run.fingerprint, crash_id)
             run.excluded.clear()
             run.excluded.add(server_id)
             run.crash_age_s = age_s
@@ -247,9 +247,9 @@
     # Trials of suspects.
 
     async def _wait_for_trial(self, run: Run) -> None:
-        ask = self._trial_of(run)
-        while self._suspects.suspected(run.fingerprint):
-            self._suspects.check(run.request, run.fingerprint, run.outcome())
+        ask = self._new_trial(run)
+        while self._suspects.is_suspected(run.fingerprint):
+            self._suspects.raise_if_convicted(run.request, run.fingerprint, run.outcome())
             if self._remaining_s(run.request) <= 0:
                 raise DeadlineExceeded(
                     f"request {run.request.request_id} is suspected of crashing engines and "
@@ -257,14 +257,14 @@
                     outcome=run.outcome(),
                     retry_after_s=_SUSPECT_SERVER_S,
                 )
-            if await self._trials.ask(ask):
+            if await self._trials.request_start(ask):
                 run.trial = ask
                 return
             await self._clock.sleep(_TRIAL_PERIOD_S)
 
     async def _pass_trial(self, run: Run) -> None:
         if run.trial is not None:
-            self._suspects.clear(run.fingerprint)
+            self._suspects.clear_suspicion(run.fingerprint)
             await self._end_trial(run)
 
     async def _end_trial(self, run: Run) -> None:
@@ -273,8 +273,8 @@
             await self._trials.end(trial)
 
     @staticmethod
-    def _trial_of(run: Run) -> TrialAsk:
-        return TrialAsk(
+    def _new_trial(run: Run) -> TrialRequest:
+        return TrialRequest(
             pool=run.request.pool,
             fingerprint=run.fingerprint,
             trial_id=new_id("trial"),
--- a/src/verbenawind/routing/trials.py
+++ b/src/verbenawind/routing/trials.py
@@ -1,4 +1,4 @@
-"""Lets suspects of one pool run one at a time in a zone, newest first."""
+"""Runs trials of suspected requests one at a time per pool and zone."""
 
 import contextlib
 
@@ -11,18 +11,18 @@
 from verbenawind.kernel.ports import PeerBus
 from verbenawind.kernel.rendezvous import owner
 
-__all__ = ["TrialAsk", "TrialGate"]
+__all__ = ["TrialCoordinator", "TrialRequest"]
 
 _ASK_CALL = "trial-ask"
 _END_CALL = "trial-end"
 _CALL_TIMEOUT_S = 0.5
-_CONTENDER_S = 0.5
-_SETTLE_S = 0.05
-_PERMIT_S = 60.0
+_WAITING_EXPIRY_S = 0.5
+_MIN_WAIT_S = 0.05
+_MAX_TRIAL_S = 60.0
 
 
-class TrialAsk(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for the turn of a suspect; ``age_s`` is how long it ran when its engine crashed."""
+class TrialRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """A request to start a trial; ``age_s`` is how long the suspect had run before the crash."""
 
     pool: str
     fingerprint: str
@@ -30,58 +30,63 @@
     age_s: float
 
 
-class _Contender:
-    __slots__ = ("age_s", "asked_at_s", "since_s")
+class _WaitingTrial:
+    __slots__ = ("age_s", "first_asked_at_s", "last_asked_at_s")
 
     def __init__(self, age_s: float, now_s: float) -> None:
         self.age_s = age_s
-        self.since_s = now_s
-        self.asked_at_s = now_s
+        self.first_asked_at_s = now_s
+        self.last_asked_at_s = now_s
 
 
-class _PoolTrials:
-    """Decides whose turn it is in one pool; lives at the daemon that owns the pool's trials."""
+class _PoolTrialQueue:
+    """Orders the trials of one pool, at the daemon that owns the pool's trials."""
 
-    __slots__ = ("_contenders", "_ends_at_s", "_running")
+    __slots__ = ("_running", "_running_until_s", "_waiting")
 
     def __init__(self) -> None:
         self._running: str | None = None
-        self._ends_at_s = 0.0
-        self._contenders: dict[str, _Contender] = {}
+        self._running_until_s = 0.0
+        self._waiting: dict[str, _WaitingTrial] = {}
 
-    def ask(self, ask: TrialAsk, now_s: float) -> bool:
-        """Return whether the trial may run now; the youngest contender goes first."""
-        if self._running == ask.trial_id:
+    def request_start(self, request: TrialRequest, now_s: float) -> bool:
+        """Return whether the trial may run now.
+
+        The waiting suspect that had run for the shortest time before the crash goes first.
+        """
+        if self._running == request.trial_id:
             return True
-        contender = self._contenders.setdefault(ask.trial_id, _Contender(ask.age_s, now_s))
-        contender.asked_at_s = now_s
-        if self._running is not None and self._ends_at_s > now_s:
+        waiting = self._waiting.setdefault(request.trial_id, _WaitingTrial(request.age_s, now_s))
+        waiting.last_asked_at_s = now_s
+        if self._running is not None and self._running_until_s > now_s:
             return False
-        self._drop_silent(now_s)
-        first = min(self._contenders, key=lambda item: (self._contenders[item].age_s, item))
-        if first != ask.trial_id or now_s - contender.since_s < _SETTLE_S:
+        self._drop_stale(now_s)
+        first = min(self._waiting, key=lambda item: (self._waiting[item].age_s, item))
+        if first != request.trial_id or now_s - waiting.first_asked_at_s < _MIN_WAIT_S:
             return False
-        del self._contenders[ask.trial_id]
-        self._running, self._ends_at_s = ask.trial_id, now_s + _PERMIT_S
+        del self._waiting[request.trial_id]
+        self._running, self._running_until_s = request.trial_id, now_s + _MAX_TRIAL_S
         return True
 
     def end(self, trial_id: str) -> None:
-        """Take back a turn."""
-        self._contenders.pop(trial_id, None)
+        """Mark a trial as finished or no longer waiting."""
+        self._waiting.pop(trial_id, None)
         if self._running == trial_id:
             self._running = None
 
-    def _drop_silent(self, now_s: float) -> None:
-        for trial_id, contender in list(self._contenders.items()):
-            if now_s - contender.asked_at_s > _CONTENDER_S:
-                del self._contenders[trial_id]
+    def _drop_stale(self, now_s: float) -> None:
+        for trial_id, waiting in list(self._waiting.items()):
+            if now_s - waiting.last_asked_at_s > _WAITING_EXPIRY_S:
+                del self._waiting[trial_id]
+
 
+class TrialCoordinator:
+    """Requests trials from the daemon that owns a pool's trials in this zone.
 
-class TrialGate:
-    """Asks the daemon that owns a pool's trials in this zone for a suspect's turn.
+    If the owner is unreachable, this daemon decides by itself.
 
     Args:
-        fleet: Says which zone this is.
+        fleet: Provides the zone of this daemon.
         peers: The other daemons.
         clock: Time source.
     """
@@ -92,49 +97,49 @@
         self._fleet = fleet
         self._peers = peers
         self._clock = clock
-        self._pools: dict[str, _PoolTrials] = {}
+        self._pools: dict[str, _PoolTrialQueue] = {}
         self._log = structlog.get_logger("suspects")
-        peers.on_call(_ASK_CALL, self._answer_ask)
-        peers.on_call(_END_CALL, self._answer_end)
+        peers.on_call(_ASK_CALL, self._on_ask_call)
+        peers.on_call(_END_CALL, self._on_end_call)
 
-    async def ask(self, ask: TrialAsk) -> bool:
-        """Return whether a suspect may run now; ask again a little later if not."""
-        holder = self._owner(ask.pool)
-        if holder != self._peers.peer_id:
+    async def request_start(self, request: TrialRequest) -> bool:
+        """Return whether a trial may start now; if not, the caller asks again shortly."""
+        owner_id = self._owner_id(request.pool)
+        if owner_id != self._peers.peer_id:
             try:
-                body = msgspec.json.encode(ask)
-                answer = await self._peers.call(holder, _ASK_CALL, body, _CALL_TIMEOUT_S)
+                body = msgspec.json.encode(request)
+                answer = await self._peers.call(owner_id, _ASK_CALL, body, _CALL_TIMEOUT_S)
                 return msgspec.json.decode(answer, type=bool)
             except PeerUnreachable as error:
-                self._log.warning("trial_owner_unreachable", owner=holder, error=error.message)
-        return self._ask_here(ask)
-
-    async def end(self, ask: TrialAsk) -> None:
-        """Give a turn back."""
-        self._end_here(ask)
-        holder = self._owner(ask.pool)
-        if holder != self._peers.peer_id:
+                self._log.warning("trial_owner_unreachable", owner=owner_id, error=error.message)
+        return self._request_start_locally(request)
+
+    async def end(self, request: TrialRequest) -> None:
+        """Report that a trial has finished, so that the next one may start."""
+        self._end_locally(request)
+        owner_id = self._owner_id(request.pool)
+        if owner_id != self._peers.peer_id:
             with contextlib.suppress(PeerUnreachable):
-                body = msgspec.json.encode(ask)
-                await self._peers.call(holder, _END_CALL, body, _CALL_TIMEOUT_S)
+                body = msgspec.json.encode(request)
+                await self._peers.call(owner_id, _END_CALL, body, _CALL_TIMEOUT_S)
 
-    def _owner(self, pool: str) -> str:
+    def _owner_id(self, pool: str) -> str:
         zone = self._fleet.location.zone
-        near = [peer.peer_id for peer in self._peers.peers() if peer.location.zone == zone]
-        return owner(pool, [self._peers.peer_id, *near])
+        same_zone = [peer.peer_id for peer in self._peers.peers() if peer.location.zone == zone]
+        return owner(pool, [self._peers.peer_id, *same_zone])
 
-    def _ask_here(self, ask: TrialAsk) -> bool:
-        trials = self._pools.setdefault(ask.pool, _PoolTrials())
-        return trials.ask(ask, self._clock.monotonic_s())
+    def _request_start_locally(self, request: TrialRequest) -> bool:
+        trials = self._pools.setdefault(request.pool, _PoolTrialQueue())
+        return trials.request_start(request, self._clock.monotonic_s())
 
-    def _end_here(self, ask: TrialAsk) -> None:
-        if ask.pool in self._pools:
-            self._pools[ask.pool].end(ask.trial_id)
+    def _end_locally(self, request: TrialRequest) -> None:
+        if request.pool in self._pools:
+            self._pools[request.pool].end(request.trial_id)
 
-    async def _answer_ask(self, body: bytes) -> bytes:
-        ask = msgspec.json.decode(body, type=TrialAsk)
-        return msgspec.json.encode(self._ask_here(ask))
+    async def _on_ask_call(self, body: bytes) -> bytes:
+        request = msgspec.json.decode(body, type=TrialRequest)
+        return msgspec.json.encode(self._request_start_locally(request))
 
-    async def _answer_end(self, body: bytes) -> bytes:
-        self._end_here(msgspec.json.decode(body, type=TrialAsk))
+    async def _on_end_call(self, body: bytes) -> bytes:
+        self._end_locally(msgspec.json.decode(body, type=TrialRequest))
         return b"null"
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -21,7 +21,7 @@
 from verbenawind.routing.reserve import ApplicationReserve
 from verbenawind.routing.retries import RetryBudget, backoff_s
 from verbenawind.routing.server_choice import Candidate, CrossRegionCost, Tier, choose_engine
-from verbenawind.routing.trials import TrialAsk, _PoolTrials
+from verbenawind.routing.trials import TrialRequest, _PoolTrialQueue
 
 CROSSING = CrossRegionCost(
     size_bytes=1 << 20, price_per_gib=1.0, waiting_price_per_s=0.001, added_s=0.02
@@ -253,24 +253,28 @@
 
 
 class TestTrials:
-    def ask(self, trial_id: str, age_s: float) -> TrialAsk:
-        """Return one suspect's question."""
-        return TrialAsk(pool="p", fingerprint=trial_id, trial_id=trial_id, age_s=age_s)
+    def trial_request(self, trial_id: str, age_s: float) -> TrialRequest:
+        """Return a suspect's request to start its trial."""
+        return TrialRequest(pool="p", fingerprint=trial_id, trial_id=trial_id, age_s=age_s)
 
     def test_one_at_a_time_and_the_youngest_first(self) -> None:
-        """While one suspect runs no other does; then the one that had run the least is next."""
-        trials = _PoolTrials()
+        """Trials run one at a time, in order of how long the suspect ran before the crash."""
+        trials = _PoolTrialQueue()
         waiting = {"old": 9.0, "young": 0.1, "middle": 3.0}
         order = []
         for tick in range(1, 20):
             now_s = tick / 10
             granted = [
-                name for name, age_s in waiting.items() if trials.ask(self.ask(name, age_s), now_s)
+                name
+                for name, age_s in waiting.items()
+                if trials.request_start(self.trial_request(name, age_s), now_s)
             ]
             assert len(granted) <= 1
             for name in granted:
-                others = [self.ask(other, waiting[other]) for other in waiting if other != name]
-                assert not any(trials.ask(other, now_s) for other in others)
+                others = [
+                    self.trial_request(other, waiting[other]) for other in waiting if other != name
+                ]
+                assert not any(trials.request_start(other, now_s) for other in others)
                 order.append(name)
                 del waiting[name]
                 trials.end(name)
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash engines: trials, convictions, bystanders."""
+"""Tests of requests that crash engines: trials, convictions and unaffected requests."""
 
 import asyncio
 
@@ -9,35 +9,36 @@
 from verbenawind.standins.engine import CRASH_MARK
 from verbenawind.standins.world import World
 
-POISON = f"{CRASH_MARK} quote"
+CRASHING_PROMPT = f"{CRASH_MARK} quote"
 
 
 def crashes(world: World) -> int:
-    """Return how many times engines crashed."""
+    """Return the number of engine crashes so far."""
     return sum(engine.crashes for engine in world.engines.values())
 
 
 async def crash_busy_engine(world: World) -> None:
-    """Crash the first engine that generates."""
+    """Crash the first engine that has a running generation."""
     for _ in range(1000):
         busy = [engine for engine in world.engines.values() if engine._running]
         if busy:
             busy[0].crash()
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("no engine has begun to generate")
+    raise AssertionError("no engine started a generation")
 
 
 async def send_in_turn(cores: list[Core], name: str) -> list[object]:
-    """Send the poisonous request to each daemon in turn under fresh ids."""
+    """Send the crashing request to each daemon in turn, each time under a new id."""
     return [
-        await run(core, ask(core, f"{name}-{index}", POISON)) for index, core in enumerate(cores)
+        await run(core, ask(core, f"{name}-{index}", CRASHING_PROMPT))
+        for index, core in enumerate(cores)
     ]
 
 
 class TestSuspects:
-    def test_poison_takes_down_two_engines_at_most(self) -> None:
-        """Resent to every daemon in turn, again and again, one request crashes two engines."""
+    def test_crashing_request_crashes_two_engines_at_most(self) -> None:
+        """A request resent repeatedly to every daemon crashes two engines in total."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=6, daemons=3)
@@ -50,8 +51,8 @@
 
         scenario(work)
 
-    def test_bystanders_get_their_answers(self) -> None:
-        """Requests in flight at any daemon on the engines that crash are answered whole."""
+    def test_other_requests_on_crashed_engines_are_answered(self) -> None:
+        """Other requests in flight on the crashing engines get complete answers at each daemon."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=3, daemons=2)
@@ -61,7 +62,9 @@
             ]
             tasks = [asyncio.ensure_future(run(core, request)) for core, request in requests]
             await asyncio.sleep(0.15)
-            assert isinstance(await run(cores[0], ask(cores[0], "p", POISON)), RequestConvicted)
+            assert isinstance(
+                await run(cores[0], ask(cores[0], "p", CRASHING_PROMPT)), RequestConvicted
+            )
             answers = await asyncio.gather(*tasks)
             assert crashes(world) == 2
             whole = [
@@ -71,8 +74,8 @@
 
         scenario(work)
 
-    def test_cut_stream_raises_no_suspicion(self) -> None:
-        """An engine that drops a stream but lives on makes nobody a suspect."""
+    def test_truncated_stream_raises_no_suspicion(self) -> None:
+        """A truncated stream from an engine that keeps running makes no request a suspect."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
@@ -87,8 +90,8 @@
 
         scenario(work)
 
-    def test_engine_that_dies_by_itself_convicts_nobody(self) -> None:
-        """After a crash that no request caused, everybody in flight is answered and cleared."""
+    def test_unrelated_engine_crash_convicts_no_request(self) -> None:
+        """After a crash that no request caused, all requests in flight are answered and cleared."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=3)
@@ -104,7 +107,7 @@
         scenario(work)
 
     def test_convicted_innocent_is_answered_after_a_short_term(self) -> None:
-        """Engines that die by themselves twice delay an innocent request by seconds only."""
+        """Two unrelated engine crashes delay an innocent request by 20 seconds at most."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=4)
@@ -122,12 +125,12 @@
 
         scenario(work)
 
-    def test_poison_is_refused_for_long_once_it_has_crashed_another_engine(self) -> None:
-        """After its first term, poison takes one more engine and is refused for minutes."""
+    def test_repeated_conviction_has_a_long_term(self) -> None:
+        """After its first term a crashing request crashes one more engine and is refused longer."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=6, daemons=3)
-            first = await run(cores[0], ask(cores[0], "p", POISON))
+            first = await run(cores[0], ask(cores[0], "p", CRASHING_PROMPT))
             assert isinstance(first, RequestConvicted) and first.retry_after_s is not None
             await asyncio.sleep(first.retry_after_s)
             answers = await send_in_turn(cores, "q") + await send_in_turn(cores, "r")
@@ -138,8 +141,8 @@
 
         scenario(work)
 
-    def test_cut_off_zone_raises_no_suspicion(self) -> None:
-        """Streams from a zone that is cut off continue elsewhere without trials."""
+    def test_network_partition_raises_no_suspicion(self) -> None:
+        """Streams from a partitioned zone continue on other engines without trials."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=4, daemons=2)
