--- a/src/verbenawind/routing/__init__.py
+++ b/src/verbenawind/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The path of a request: choice of backend server, limits, retries, whole answers."""
+"""Routes requests to backend servers: selection, limits, retries and resumption."""
 
 from verbenawind.routing.dispatcher import Dispatcher
 from verbenawind.routing.policy import RoutingPolicy
--- a/src/verbenawind/routing/attempts.py
+++ b/src/verbenawind/routing/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a generation on one engine, and what its failure means."""
+"""Runs one attempt of a generation on one engine and diagnoses failures."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -24,22 +24,22 @@
     WorkKind,
 )
 from verbenawind.kernel.ports import BackendClients
-from verbenawind.routing.generation_cache import Answer
+from verbenawind.routing.generation_cache import Generation
 
-__all__ = ["CrashDetector", "Failure", "attempt_of", "check_event", "stream"]
+__all__ = ["CrashDetector", "FailureCause", "attempt_of", "check_event", "stream"]
 
 _PROBE_TIMEOUT_S = 1.0
 
 
-class Failure(StrEnum):
-    """What ended an attempt."""
+class FailureCause(StrEnum):
+    """Why an attempt failed."""
 
     CRASH = "crash"
-    CUT = "cut"
+    CONNECTION_LOST = "cut"
 
 
-def attempt_of(request: GenerateRequest, answer: Answer) -> GenerationAttempt:
-    """Return an attempt that continues from the tokens already held."""
+def attempt_of(request: GenerateRequest, generation: Generation) -> GenerationAttempt:
+    """Return an attempt that continues after the tokens already generated."""
     return GenerationAttempt(
         attempt_id=new_id("att"),
         request_id=request.request_id,
@@ -48,7 +48,7 @@
         max_tokens=request.max_tokens,
         seed=request.seed,
         temperature=request.temperature,
-        held_token_ids=tuple(answer.token_ids),
+        held_token_ids=tuple(generation.token_ids),
     )
 
 
@@ -56,16 +56,16 @@
     clients: BackendClients,
     view: ServerView,
     request: GenerateRequest,
-    answer: Answer,
+    generation: Generation,
     clock: Clock,
 ) -> AsyncGenerator[EngineEvent, None]:
-    """Stream one attempt's checked events; closing the generator cancels it.
+    """Stream the validated events of one attempt; closing the generator cancels the attempt.
 
     Raises:
         DeadlineExceeded: The request's deadline passed.
-        BackendServerFailed: The engine failed, or its stream is not whole.
+        BackendServerFailed: The engine failed, or its stream was truncated or inconsistent.
     """
-    attempt = attempt_of(request, answer)
+    attempt = attempt_of(request, generation)
     events = clients.engine(view.server).generate(attempt)
     ended = False
     try:
@@ -75,14 +75,16 @@
                     event = await anext(events, None)
             except TimeoutError as error:
                 raise DeadlineExceeded(
-                    f"request {request.request_id} passed its deadline while generating",
-                    outcome=Outcome.RAN if answer.token_ids else Outcome.MAY_HAVE_RUN,
+                    f"request {request.request_id} exceeded its deadline while generating",
+                    outcome=Outcome.RAN if generation.token_ids else Outcome.MAY_HAVE_RUN,
                 ) from error
             if event is None:
-                raise StreamTruncated(f"attempt {attempt.attempt_id} ended without its end mark")
-            check_event(attempt, event, len(answer.token_ids), request.kind)
+                raise StreamTruncated(
+                    f"stream of attempt {attempt.attempt_id} ended without an end mark"
+                )
+            check_event(attempt, event, len(generation.token_ids), request.kind)
             ended = isinstance(event, GenerationEnded)
-            answer.add(event)
+            generation.add(event)
             yield event
     finally:
         await events.aclose()
@@ -93,23 +95,28 @@
 ) -> None:
     """Raise BackendServerFailed unless *event* continues the attempt at token *position*."""
     if event.attempt_id != attempt.attempt_id:
-        raise BackendServerFailed(f"event of attempt {event.attempt_id} in another's stream")
+        raise BackendServerFailed(
+            f"received an event of attempt {event.attempt_id} in the stream of another attempt"
+        )
     if isinstance(event, GenerationEnded):
         if event.token_count != position:
             raise StreamTruncated(
-                f"attempt {attempt.attempt_id} ended at {event.token_count} tokens, got {position}"
+                f"attempt {attempt.attempt_id} reported {event.token_count} tokens, "
+                f"received {position}"
             )
         return
     if event.start != position:
         raise BackendServerFailed(
-            f"attempt {attempt.attempt_id} went from token {position} to {event.start}"
+            f"attempt {attempt.attempt_id} expected token {position}, received {event.start}"
         )
     if event.version is None and kind is WorkKind.ROLLOUT:
-        raise BackendServerFailed(f"attempt {attempt.attempt_id} has tokens without a version")
+        raise BackendServerFailed(
+            f"attempt {attempt.attempt_id} sent tokens without a weight version"
+        )
 
 
 class CrashDetector:
-    """Tells a crash of an engine from a cut connection.
+    """Distinguishes an engine crash from a lost connection.
 
     Args:
         fleet: The view of the backend servers.
@@ -121,10 +128,10 @@
     def __init__(self, fleet: Fleet, clients: BackendClients) -> None:
         self._fleet = fleet
         self._clients = clients
-        self._probes: dict[tuple[str, int], asyncio.Task[Failure]] = {}
+        self._probes: dict[tuple[str, int], asyncio.Task[FailureCause]] = {}
 
-    async def diagnose(self, view: ServerView) -> Failure:
-        """Return why a stream of the engine broke; failures at the same time share one probe."""
+    async def diagnose(self, view: ServerView) -> FailureCause:
+        """Return why a stream of the engine broke; concurrent failures share one probe."""
         key = (view.server.server_id, view.server.incarnation)
         probe = self._probes.get(key)
         if probe is None:
@@ -133,19 +140,23 @@
             probe.add_done_callback(lambda _: self._probes.pop(key, None))
         return await asyncio.shield(probe)
 
-    async def _diagnose(self, view: ServerView) -> Failure:
-        incarnation = await self._incarnation(view)
+    async def _diagnose(self, view: ServerView) -> FailureCause:
+        incarnation = await self._probe_incarnation(view)
         if incarnation is not None:
-            return Failure.CRASH if incarnation > view.server.incarnation else Failure.CUT
+            return (
+                FailureCause.CRASH
+                if incarnation > view.server.incarnation
+                else FailureCause.CONNECTION_LOST
+            )
         if view.server.location.zone == self._fleet.location.zone:
-            return Failure.CRASH
-        sibling = self._sibling(view)
-        if sibling is None or await self._incarnation(sibling) is not None:
-            return Failure.CRASH
-        return Failure.CUT
-
-    async def _incarnation(self, view: ServerView) -> int | None:
-        """Return the incarnation that an engine reports, None when it gives no answer."""
+            return FailureCause.CRASH
+        other_engine = self._other_engine_in_zone(view)
+        if other_engine is None or await self._probe_incarnation(other_engine) is not None:
+            return FailureCause.CRASH
+        return FailureCause.CONNECTION_LOST
+
+    async def _probe_incarnation(self, view: ServerView) -> int | None:
+        """Return the incarnation that the engine reports, None if it does not answer."""
         try:
             async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 status = await self._clients.engine(view.server).status()
@@ -156,8 +167,11 @@
         self._fleet.observe(status)
         return status.incarnation
 
-    def _sibling(self, view: ServerView) -> ServerView | None:
-        """Return another engine of the same zone: a cut off zone answers through none."""
+    def _other_engine_in_zone(self, view: ServerView) -> ServerView | None:
+        """Return another engine in the same zone.
+
+        If the zone is partitioned from this daemon, that engine does not answer either.
+        """
         for other in self._fleet.group(BackendKind.ENGINE, view.server.group):
             same_zone = other.server.location.zone == view.server.location.zone
             if same_zone and other is not view:
--- a/src/verbenawind/routing/dispatcher.py
+++ b/src/verbenawind/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs requests on backend servers: turns, choice, attempts, retries and resumption."""
+"""Dispatches requests to backend servers."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -27,9 +27,9 @@
 from verbenawind.metrics import Metrics
 from verbenawind.routing.admission import Admission
 from verbenawind.routing.engine_pool import EnginePool
-from verbenawind.routing.generation_cache import Answer, AnswerKeeper
+from verbenawind.routing.generation_cache import Generation, GenerationCache
 from verbenawind.routing.policy import RoutingPolicy
-from verbenawind.routing.runs import Run, Runner
+from verbenawind.routing.runs import GenerationRunner, Run
 from verbenawind.routing.services import ServiceDispatcher
 from verbenawind.routing.stats import RoutingStats
 
@@ -37,19 +37,19 @@
 
 
 class Dispatcher:
-    """Implements the Generator and ServiceCaller ports.
+    """Implements the ``Generator`` and ``ServiceCaller`` ports.
 
     Args:
         fleet: The view of the backend servers.
         clients: Clients of the backend servers.
         clock: Time source.
-        rng: Jitter and choices.
-        configuration: The documents in force.
-        table: The table service's client.
-        objects: The object store's client.
+        rng: Random source for jitter and engine sampling.
+        configuration: Provides the current documents.
+        table: Client of the table service.
+        objects: Client of the object store.
         peers: The other daemons.
-        metrics: Counts waits and bytes between regions.
-        policy: Which mechanisms are in force.
+        metrics: Records queue waits and cross-region bytes.
+        policy: Which mechanisms are enabled.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         self._policy = policy or RoutingPolicy()
         self._pools: dict[str, EnginePool] = {}
         self._admission = Admission(configuration, peers, clock)
-        self._answers = AnswerKeeper(clock, peers, fleet)
+        self._generation_cache = GenerationCache(clock, peers, fleet)
         self._log = structlog.get_logger("routing")
         self.stats = RoutingStats()
-        self._runner = Runner(
+        self._generation_runner = GenerationRunner(
             fleet=fleet,
             clients=clients,
             clock=clock,
@@ -95,30 +95,30 @@
             peers=peers,
             policy=self._policy,
         )
-        fleet.on_leaving(self._pool_changed)
+        fleet.on_leaving(self._on_server_leaving)
 
     # Ports.
 
     def free_slots(self, pool: str) -> int:
-        """Return how many more rollout generations the pool would start at once."""
+        """Return how many more rollout generations the pool could start immediately."""
         return 0 if self._admission.draining else self._pool(pool).free_slots()
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Stream the whole answer, resuming on another engine when one fails."""
+        """Stream the complete answer, resuming on another engine if one fails."""
         try:
             spec = self._admission.admit(request.environment, request.caller, request.kind)
             try:
-                async with aclosing(self._answer(request)) as events:
+                async with aclosing(self._stream_generation(request)) as events:
                     async for event in events:
                         yield event
             finally:
                 self._admission.release(request.environment, spec)
         except VerbenawindError as error:
-            self._refused(request.request_id, error)
+            self._record_failure(request.request_id, error)
             raise
 
     async def call_service(self, request: ServiceRequest, spec: ServiceSpec) -> ServiceResponse:
-        """Call a plain service; a non-idempotent request runs at most once."""
+        """Call a service; a non-idempotent request runs at most once."""
         try:
             caller = self._admission.admit(
                 request.environment, request.caller, WorkKind.APPLICATION
@@ -128,7 +128,7 @@
             finally:
                 self._admission.release(request.environment, caller)
         except VerbenawindError as error:
-            self._refused(request.request_id, error)
+            self._record_failure(request.request_id, error)
             raise
 
     async def drain(self) -> None:
@@ -136,33 +136,38 @@
         await self._admission.drain()
         await self.services.finish()
 
-    async def _answer(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Stream what is kept of the answer, then the rest."""
-        answer = await self._open(request)
+    async def _stream_generation(
+        self, request: GenerateRequest
+    ) -> AsyncGenerator[EngineEvent, None]:
+        """Stream the retained events of the request, then the newly generated ones."""
+        generation = await self._open_generation(request)
         try:
-            for tokens in answer.tokens:
+            for tokens in generation.token_events:
                 yield tokens
-            if answer.ended is not None:
-                yield answer.ended
+            if generation.ended is not None:
+                yield generation.ended
                 return
-            run, pool = Run(request, answer), self._pool_for(request)
-            async with aclosing(self._runner.run(run, pool)) as events:
+            run, pool = Run(request, generation), self._pool_for(request)
+            async with aclosing(self._generation_runner.run(run, pool)) as events:
                 async for event in events:
                     yield event
         finally:
-            if request.kind is WorkKind.ROLLOUT and answer.ended is not None:
-                self._answers.forget(request, answer)
-            self._answers.close(request, answer)
+            if request.kind is WorkKind.ROLLOUT and generation.ended is not None:
+                self._generation_cache.discard(request, generation)
+            self._generation_cache.close(request, generation)
 
-    async def _open(self, request: GenerateRequest) -> Answer:
-        """Return the answer to continue; of samples only that of the same draw is kept."""
+    async def _open_generation(self, request: GenerateRequest) -> Generation:
+        """Return the generation to continue.
+
+        A rollout sample continues an earlier generation only if it is the same draw.
+        """
         if request.kind is WorkKind.ROLLOUT and not request.resumable:
-            return Answer("")
-        return await self._answers.open(request)
+            return Generation("")
+        return await self._generation_cache.open(request)
 
-    # Pools and refusals.
+    # Pools and failures.
 
-    def _refused(self, request_id: str, error: VerbenawindError) -> None:
+    def _record_failure(self, request_id: str, error: VerbenawindError) -> None:
         self.stats.refusals[error.code] += 1
         self._log.info(
             "request_failed",
@@ -194,7 +199,7 @@
             pool.cross_region_spec = document.cross_region
         return pool
 
-    def _pool_changed(self, view: ServerView) -> None:
+    def _on_server_leaving(self, view: ServerView) -> None:
         pool = self._pools.get(view.server.group)
         if pool is not None:
             pool.request_refresh()
--- a/src/verbenawind/routing/generation_cache.py
+++ b/src/verbenawind/routing/generation_cache.py
@@ -1,4 +1,4 @@
-"""Keeps answers for a while, so that a caller that reconnects gets the rest."""
+"""Retains generated tokens for a time, so that a reconnecting caller can resume its stream."""
 
 import asyncio
 import contextlib
@@ -18,190 +18,208 @@
 )
 from verbenawind.kernel.ports import Peer, PeerBus
 
-__all__ = ["Answer", "AnswerKeeper", "HeldAnswer"]
+__all__ = ["Generation", "GenerationCache", "HandedOverGeneration"]
 
-_KEPT_S = 60.0
-_KEPT_BYTES = 8 * 1024 * 1024
+_RETENTION_S = 60.0
+_MAX_RETAINED_BYTES = 8 * 1024 * 1024
 _EVENT_OVERHEAD_BYTES = 200
 _TOKEN_BYTES = 8
 _HAND_OVER_CALL = "answer-hand-over"
-_ASK_TIMEOUT_S = 0.5
-_MAX_ASKED_PEERS = 16
+_HAND_OVER_TIMEOUT_S = 0.5
+_MAX_QUERIED_PEERS = 16
 
 
-class HeldAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What was generated of an answer, as one daemon hands it over to another."""
+class HandedOverGeneration(msgspec.Struct, frozen=True, kw_only=True):
+    """The events of a generation so far, as one daemon hands them over to another."""
 
     digest: str
     tokens: tuple[TokensGenerated, ...] = ()
     ended: GenerationEnded | None = None
 
 
-class Answer:
-    """One request's answer so far; a reconnect supersedes the run before it.
+class Generation:
+    """The events generated so far for one request.
+
+    When the caller reconnects, a new run of the request supersedes the previous one.
 
     Args:
-        digest: Of everything that must be the same when the request id comes again.
+        digest: Digest of everything that must match when the request id is reused.
     """
 
     __slots__ = (
         "digest",
         "ended",
+        "expires_at_s",
         "server_id",
         "size_bytes",
         "superseded",
+        "token_events",
         "token_ids",
-        "tokens",
-        "until_s",
     )
 
     def __init__(self, digest: str) -> None:
         self.digest = digest
-        self.tokens: list[TokensGenerated] = []
+        self.token_events: list[TokensGenerated] = []
         self.token_ids: list[int] = []
         self.ended: GenerationEnded | None = None
         self.server_id: str | None = None
         self.size_bytes = 0
         self.superseded = False
-        self.until_s = 0.0
+        self.expires_at_s = 0.0
 
     def add(self, event: EngineEvent) -> None:
-        """Append an event that continues the answer.
+        """Append the next event.
 
         Raises:
-            BackendServerFailed: Another run of the request has taken over.
+            BackendServerFailed: A later run of the request has superseded this one.
         """
         if self.superseded:
-            raise BackendServerFailed("the caller reconnected; this run of its request is void")
+            raise BackendServerFailed(
+                "the caller reconnected; a later run of its request supersedes this one"
+            )
         if isinstance(event, GenerationEnded):
             self.ended = event
             return
-        self.tokens.append(event)
+        self.token_events.append(event)
         self.token_ids.extend(event.token_ids)
         self.size_bytes += (
             _EVENT_OVERHEAD_BYTES + len(event.text) + _TOKEN_BYTES * len(event.token_ids)
         )
 
-    def continued(self) -> "Answer":
-        """Return a copy for a new run and void this one."""
-        copy = Answer(self.digest)
-        copy.server_id = self.server_id
-        for event in self.tokens:
-            copy.add(event)
-        copy.ended = self.ended
+    def supersede(self) -> "Generation":
+        """Return a copy for a new run and mark this one as superseded."""
+        successor = Generation(self.digest)
+        successor.server_id = self.server_id
+        for event in self.token_events:
+            successor.add(event)
+        successor.ended = self.ended
         self.superseded = True
-        return copy
+        return successor
+
 
+class GenerationCache:
+    """Looks up generations by request id, at this daemon and its peers.
 
-class AnswerKeeper:
-    """Finds answers by request id, here and at peers, bounded in time and bytes.
+    Finished runs are retained for a bounded time and up to a bounded number of bytes.
 
     Args:
         clock: Time source.
         peers: The other daemons.
-        fleet: Says which zone this is; its daemons are asked first.
+        fleet: Provides the zone of this daemon; daemons of the same zone are queried first.
     """
 
-    __slots__ = ("_answers", "_clock", "_fleet", "_kept_bytes", "_peers")
+    __slots__ = ("_clock", "_fleet", "_generations", "_peers", "_retained_bytes")
 
     def __init__(self, clock: Clock, peers: PeerBus, fleet: Fleet) -> None:
         self._clock = clock
         self._peers = peers
         self._fleet = fleet
-        self._answers: OrderedDict[str, Answer] = OrderedDict()
-        self._kept_bytes = 0
-        peers.on_call(_HAND_OVER_CALL, self._answer_hand_over)
+        self._generations: OrderedDict[str, Generation] = OrderedDict()
+        self._retained_bytes = 0
+        peers.on_call(_HAND_OVER_CALL, self._on_hand_over_call)
+
+    async def open(self, request: GenerateRequest) -> Generation:
+        """Return the generation to continue, empty if none is retained for the request.
 
-    async def open(self, request: GenerateRequest) -> Answer:
-        """Return the answer to continue: an empty one unless the request is known.
+        Peers are queried only if the caller says that it reconnects.
 
         Raises:
-            InvalidRequest: The request id was used for another request.
+            InvalidRequest: The request id was used for a different request.
         """
         key, digest = _key(request), _digest(request)
-        known = self._answers.pop(key, None)
-        if known is not None:
-            self._forget_bytes(known)
-            if known.digest != digest:
-                self._answers[key] = known
+        cached = self._generations.pop(key, None)
+        if cached is not None:
+            self._subtract_bytes(cached)
+            if cached.digest != digest:
+                self._generations[key] = cached
                 raise InvalidRequest(
                     f"request id {request.request_id!r} of caller {request.caller!r} "
-                    "was used for another request"
+                    "was already used for a different request"
                 )
-            answer = known.continued()
+            generation = cached.supersede()
         elif request.reconnect:
-            answer = await self._ask_peers(key, digest)
+            generation = await self._fetch_from_peers(key, digest)
         else:
-            answer = Answer(digest)
-        answer.until_s = float("inf")
-        self._answers[key] = answer
-        return answer
+            generation = Generation(digest)
+        generation.expires_at_s = float("inf")
+        self._generations[key] = generation
+        return generation
 
-    def close(self, request: GenerateRequest, answer: Answer) -> None:
-        """Keep an answer whose run is over for a while."""
+    def close(self, request: GenerateRequest, generation: Generation) -> None:
+        """Retain the generation of a run that has ended, for a bounded time."""
         key = _key(request)
-        if self._answers.get(key) is not answer:
+        if self._generations.get(key) is not generation:
             return
-        answer.until_s = self._clock.monotonic_s() + _KEPT_S
-        self._kept_bytes += answer.size_bytes
-        self._answers.move_to_end(key)
-        self._drop_old()
-
-    def forget(self, request: GenerateRequest, answer: Answer) -> None:
-        """Drop an answer that nothing can be continued from."""
-        if self._answers.get(_key(request)) is answer:
-            del self._answers[_key(request)]
-
-    async def _ask_peers(self, key: str, digest: str) -> Answer:
-        peers = sorted(self._peers.peers(), key=self._far)[:_MAX_ASKED_PEERS]
-        replies = await asyncio.gather(*(self._ask(peer, key, digest) for peer in peers))
-        answer = Answer(digest)
-        held = max(
+        generation.expires_at_s = self._clock.monotonic_s() + _RETENTION_S
+        self._retained_bytes += generation.size_bytes
+        self._generations.move_to_end(key)
+        self._evict()
+
+    def discard(self, request: GenerateRequest, generation: Generation) -> None:
+        """Remove a generation that must not be resumed or replayed."""
+        if self._generations.get(_key(request)) is generation:
+            del self._generations[_key(request)]
+
+    async def _fetch_from_peers(self, key: str, digest: str) -> Generation:
+        peers = sorted(self._peers.peers(), key=self._proximity_key)[:_MAX_QUERIED_PEERS]
+        replies = await asyncio.gather(
+            *(self._fetch_from_peer(peer, key, digest) for peer in peers)
+        )
+        generation = Generation(digest)
+        handed_over = max(
             (reply for reply in replies if reply is not None),
             key=lambda reply: (reply.ended is not None, len(reply.tokens)),
             default=None,
         )
-        if held is not None and held.digest == digest:
-            for event in held.tokens:
-                answer.add(event)
-            answer.ended = held.ended
-        return answer
-
-    async def _ask(self, peer: Peer, key: str, digest: str) -> HeldAnswer | None:
+        if handed_over is not None and handed_over.digest == digest:
+            for event in handed_over.tokens:
+                generation.add(event)
+            generation.ended = handed_over.ended
+        return generation
+
+    async def _fetch_from_peer(
+        self, peer: Peer, key: str, digest: str
+    ) -> HandedOverGeneration | None:
         body = msgspec.json.encode((key, digest))
         with contextlib.suppress(PeerUnreachable):
-            reply = await self._peers.call(peer.peer_id, _HAND_OVER_CALL, body, _ASK_TIMEOUT_S)
-            return msgspec.json.decode(reply, type=HeldAnswer | None)
+            reply = await self._peers.call(
+                peer.peer_id, _HAND_OVER_CALL, body, _HAND_OVER_TIMEOUT_S
+            )
+            return msgspec.json.decode(reply, type=HandedOverGeneration | None)
         return None
 
-    async def _answer_hand_over(self, body: bytes) -> bytes:
+    async def _on_hand_over_call(self, body: bytes) -> bytes:
         key, digest = msgspec.json.decode(body, type=tuple[str, str])
-        answer = self._answers.get(key)
-        if answer is None or answer.digest != digest:
+        generation = self._generations.get(key)
+        if generation is None or generation.digest != digest:
             return msgspec.json.encode(None)
-        del self._answers[key]
-        self._forget_bytes(answer)
-        answer.superseded = True
+        del self._generations[key]
+        self._subtract_bytes(generation)
+        generation.superseded = True
         return msgspec.json.encode(
-            HeldAnswer(digest=answer.digest, tokens=tuple(answer.tokens), ended=answer.ended)
+            HandedOverGeneration(
+                digest=generation.digest,
+                tokens=tuple(generation.token_events),
+                ended=generation.ended,
+            )
         )
 
-    def _far(self, peer: Peer) -> tuple[bool, str]:
+    def _proximity_key(self, peer: Peer) -> tuple[bool, str]:
         return peer.location.zone != self._fleet.location.zone, peer.peer_id
 
-    def _forget_bytes(self, answer: Answer) -> None:
-        if answer.until_s != float("inf"):
-            self._kept_bytes -= answer.size_bytes
+    def _subtract_bytes(self, generation: Generation) -> None:
+        if generation.expires_at_s != float("inf"):
+            self._retained_bytes -= generation.size_bytes
 
-    def _drop_old(self) -> None:
+    def _evict(self) -> None:
         now_s = self._clock.monotonic_s()
-        for key, answer in list(self._answers.items()):
-            if answer.until_s == float("inf"):
+        for key, generation in list(self._generations.items()):
+            if generation.expires_at_s == float("inf"):
                 continue
-            if answer.until_s > now_s and self._kept_bytes <= _KEPT_BYTES:
+            if generation.expires_at_s > now_s and self._retained_bytes <= _MAX_RETAINED_BYTES:
                 return
-            del self._answers[key]
-            self._forget_bytes(answer)
+            del self._generations[key]
+            self._subtract_bytes(generation)
 
 
 def _key(request: GenerateRequest) -> str:
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -1,4 +1,4 @@
-"""Attempts of one generation after each other: retries, resumption, trials of suspects."""
+"""Runs generations as a sequence of attempts: retries, resumption and trials of suspects."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -20,9 +20,9 @@
 from verbenawind.kernel.messages import EngineEvent, GenerateRequest, WorkKind
 from verbenawind.kernel.ports import BackendClients, PeerBus
 from verbenawind.metrics import Metrics
-from verbenawind.routing.attempts import CrashDetector, Failure, stream
+from verbenawind.routing.attempts import CrashDetector, FailureCause, stream
 from verbenawind.routing.engine_pool import EngineNeed, EnginePool
-from verbenawind.routing.generation_cache import Answer
+from verbenawind.routing.generation_cache import Generation
 from verbenawind.routing.retries import RetryBudget, backoff_s
 from verbenawind.routing.server_choice import OTHER_REGION_DISTANCE, Choice
 from verbenawind.routing.slots import Ticket
@@ -30,60 +30,60 @@
 from verbenawind.routing.suspects import Suspects, request_fingerprint
 from verbenawind.routing.trials import TrialCoordinator, TrialRequest
 
-__all__ = ["Run", "Runner"]
+__all__ = ["GenerationRunner", "Run"]
 
-_SUSPECT_SERVER_S = 2.0
-_REFUSED_S = 0.2
-_TRIAL_PERIOD_S = 0.05
-_TRIAL_TOKENS = 16
+_SERVER_SUSPICION_S = 2.0
+_REFUSED_SUSPICION_S = 0.2
+_TRIAL_POLL_PERIOD_S = 0.05
+_TRIAL_PASS_TOKENS = 16
 
 
 class Run:
-    """The state of one request between its attempts.
+    """The state of one request across its attempts.
 
     Args:
-        request: The generation.
-        answer: What is held of its answer.
+        request: The generation request.
+        generation: The events generated so far.
     """
 
     __slots__ = (
-        "answer",
-        "crash_age_s",
+        "age_at_crash_s",
         "dispatched",
         "excluded",
         "fingerprint",
+        "generation",
         "request",
         "retry",
         "trial",
     )
 
-    def __init__(self, request: GenerateRequest, answer: Answer) -> None:
+    def __init__(self, request: GenerateRequest, generation: Generation) -> None:
         self.request = request
-        self.answer = answer
+        self.generation = generation
         self.fingerprint = request_fingerprint(request)
-        avoided = answer.server_id if request.move else None
-        self.excluded = {avoided} if avoided else set[str]()
+        server_to_avoid = generation.server_id if request.move else None
+        self.excluded = {server_to_avoid} if server_to_avoid else set[str]()
         self.retry = 0
-        self.dispatched = bool(answer.token_ids)
-        self.crash_age_s = 0.0
+        self.dispatched = bool(generation.token_ids)
+        self.age_at_crash_s = 0.0
         self.trial: TrialRequest | None = None
 
     def outcome(self) -> Outcome:
-        """Return what is true of a request that gives up now."""
+        """Return the outcome to report if the request fails now."""
         return Outcome.MAY_HAVE_RUN if self.dispatched else Outcome.NOT_RUN
 
 
-class Runner:
+class GenerationRunner:
     """Runs generations on the engines of their pools.
 
     Args:
         fleet: The view of the backend servers.
         clients: Clients of the backend servers.
         clock: Time source.
-        rng: Jitter.
+        rng: Random source for retry jitter.
         peers: The other daemons.
-        metrics: Counts waits and bytes between regions.
-        stats: Counts what routing did.
+        metrics: Records queue waits and cross-region bytes.
+        stats: Routing counters.
     """
 
     def __init__(
@@ -106,11 +106,11 @@
         self._budgets: dict[tuple[str, WorkKind], RetryBudget] = {}
         self._suspects = Suspects(clock, peers)
         self._trials = TrialCoordinator(fleet, peers, clock)
-        self._crashes = CrashDetector(fleet, clients)
+        self._crash_detector = CrashDetector(fleet, clients)
         self._log = structlog.get_logger("routing")
 
     async def run(self, run: Run, pool: EnginePool) -> AsyncGenerator[EngineEvent, None]:
-        """Stream what is missing of the answer, attempt after attempt."""
+        """Stream the remaining events, making further attempts as the retry budget allows."""
         request = run.request
         budget = self._budget(request)
         budget.deposit(pool.spec.retry_budget)
@@ -124,7 +124,7 @@
                         yield event
                 return
             except (AdmissionRefused, BackendServerUnreachable, BackendServerFailed) as error:
-                if run.answer.superseded or not budget.withdraw(self._clock.monotonic_s()):
+                if run.generation.superseded or not budget.withdraw(self._clock.monotonic_s()):
                     error.outcome = run.outcome()
                     raise
                 self._stats.retries += 1
@@ -134,7 +134,7 @@
                     "attempt_failed",
                     request_id=request.request_id,
                     error=error.message,
-                    held_tokens=len(run.answer.token_ids),
+                    held_tokens=len(run.generation.token_ids),
                     retry_in_s=round(wait_s, 4),
                 )
             finally:
@@ -146,14 +146,14 @@
         try:
             choice = await pool.queue.acquire(ticket)
         except VerbenawindError as error:
-            # The queue does not know of attempts before this one.
+            # The queue is not aware of earlier attempts, which may have run.
             error.outcome = run.outcome()
             raise
-        started_s = self._clock.monotonic_s()
+        start_s = self._clock.monotonic_s()
         server_id = choice.server_id
         assert server_id is not None
-        run.answer.server_id = server_id
-        wait_s = started_s - ticket.since_s
+        run.generation.server_id = server_id
+        wait_s = start_s - ticket.since_s
         self._stats.count_wait(run.request.kind, wait_s)
         self._metrics.observe_queue_wait(run.request.environment, run.request.kind, wait_s)
         if run.trial is not None:
@@ -161,16 +161,18 @@
         view = self._fleet.view(server_id)
         try:
             if view is None or view.leaving:
-                raise BackendServerUnreachable(f"engine {server_id} has left")
+                raise BackendServerUnreachable(
+                    f"engine {server_id} is leaving or no longer registered"
+                )
             if run.trial is None and self._suspects.is_suspected(run.fingerprint):
-                raise BackendServerUnreachable("the request came under suspicion in the queue")
+                raise BackendServerUnreachable("the request became suspected while it was queued")
             async with aclosing(self._stream(run, pool, view, choice)) as events:
                 async for event in events:
                     yield event
-            pool.queue.hold_times[ticket.kind].observe(self._clock.monotonic_s() - started_s)
+            pool.queue.hold_times[ticket.kind].observe(self._clock.monotonic_s() - start_s)
         except (AdmissionRefused, BackendServerUnreachable, BackendServerFailed) as error:
             run.excluded.add(server_id)
-            await self._failed(run, pool, view, error, started_s)
+            await self._handle_failure(run, pool, view, error, start_s)
             raise
         finally:
             if run.trial is not None:
@@ -180,87 +182,92 @@
     async def _stream(
         self, run: Run, pool: EnginePool, view: ServerView, choice: Choice
     ) -> AsyncGenerator[EngineEvent, None]:
-        request, answer = run.request, run.answer
-        started_s = self._clock.monotonic_s()
-        held, first = len(answer.token_ids), True
+        request, generation = run.request, run.generation
+        start_s = self._clock.monotonic_s()
+        held_count, first = len(generation.token_ids), True
         self._stats.count_choice(choice.is_first_preference)
-        events = stream(self._clients, view, request, answer, self._clock)
-        sent_bytes, received_bytes = len(request.prompt), -answer.size_bytes
+        events = stream(self._clients, view, request, generation, self._clock)
+        sent_bytes, received_bytes = len(request.prompt), -generation.size_bytes
         try:
             async for event in events:
                 run.dispatched = True
                 if first:
                     first = False
-                    waited_s = self._clock.monotonic_s() - started_s
+                    waited_s = self._clock.monotonic_s() - start_s
                     pool.observe_ttft(view.server.server_id, waited_s)
                 yield event
-                if run.trial is not None and len(answer.token_ids) - held >= _TRIAL_TOKENS:
+                if (
+                    run.trial is not None
+                    and len(generation.token_ids) - held_count >= _TRIAL_PASS_TOKENS
+                ):
                     await self._pass_trial(run)
             await self._pass_trial(run)
         finally:
             await events.aclose()
-            received_bytes += answer.size_bytes
+            received_bytes += generation.size_bytes
             if choice.distance == OTHER_REGION_DISTANCE:
-                self._count_crossing(view, sent_bytes, received_bytes)
+                self._count_cross_region_bytes(view, sent_bytes, received_bytes)
 
-    def _count_crossing(self, view: ServerView, sent_bytes: int, received_bytes: int) -> None:
+    def _count_cross_region_bytes(
+        self, view: ServerView, sent_bytes: int, received_bytes: int
+    ) -> None:
         own, other = self._fleet.location.region, view.server.location.region
         self._stats.cross_region_bytes += sent_bytes + received_bytes
         self._metrics.add_cross_region_bytes(own, other, sent_bytes)
         self._metrics.add_cross_region_bytes(other, own, received_bytes)
 
-    async def _failed(
+    async def _handle_failure(
         self,
         run: Run,
         pool: EnginePool,
         view: ServerView | None,
         error: VerbenawindError,
-        started_s: float,
+        start_s: float,
     ) -> None:
-        """Learn from a failed attempt what it says of the engine and of the request."""
+        """Update the state of the engine and of the request after a failed attempt."""
         if view is None:
             return
         server_id = view.server.server_id
         if isinstance(error, AdmissionRefused):
             pool.record_refusal(server_id)
-            self._fleet.suspect(server_id, error.retry_after_s or _REFUSED_S)
-            # The engine's report says whether it refuses because it leaves.
-            await self._crashes.diagnose(view)
+            self._fleet.suspect(server_id, error.retry_after_s or _REFUSED_SUSPICION_S)
+            # The probed status tells whether the engine refuses because it is leaving.
+            await self._crash_detector.diagnose(view)
             return
-        self._fleet.suspect(server_id, _SUSPECT_SERVER_S)
-        if not isinstance(error, BackendServerFailed) or run.answer.superseded:
+        self._fleet.suspect(server_id, _SERVER_SUSPICION_S)
+        if not isinstance(error, BackendServerFailed) or run.generation.superseded:
             return
         run.dispatched = True
-        failure = await self._crashes.diagnose(view)
-        if failure is not Failure.CRASH:
+        failure = await self._crash_detector.diagnose(view)
+        if failure is not FailureCause.CRASH:
             return
         crash_id = f"{server_id}/{view.server.incarnation}"
-        age_s = self._clock.monotonic_s() - started_s
+        age_s = self._clock.monotonic_s() - start_s
         if run.trial is not None:
             self._suspects.convict(run.fingerprint, crash_id)
         else:
             self._suspects.add_suspicion(run.fingerprint, crash_id)
             run.excluded.clear()
             run.excluded.add(server_id)
-            run.crash_age_s = age_s
+            run.age_at_crash_s = age_s
 
     # Trials of suspects.
 
     async def _wait_for_trial(self, run: Run) -> None:
-        ask = self._new_trial(run)
+        pending_trial = self._new_trial(run)
         while self._suspects.is_suspected(run.fingerprint):
             self._suspects.raise_if_convicted(run.request, run.fingerprint, run.outcome())
             if self._remaining_s(run.request) <= 0:
                 raise DeadlineExceeded(
                     f"request {run.request.request_id} is suspected of crashing engines and "
-                    "got no turn before its deadline",
+                    "got no isolated trial before its deadline",
                     outcome=run.outcome(),
-                    retry_after_s=_SUSPECT_SERVER_S,
+                    retry_after_s=_SERVER_SUSPICION_S,
                 )
-            if await self._trials.request_start(ask):
-                run.trial = ask
+            if await self._trials.request_start(pending_trial):
+                run.trial = pending_trial
                 return
-            await self._clock.sleep(_TRIAL_PERIOD_S)
+            await self._clock.sleep(_TRIAL_POLL_PERIOD_S)
 
     async def _pass_trial(self, run: Run) -> None:
         if run.trial is not None:
@@ -278,10 +285,10 @@
             pool=run.request.pool,
             fingerprint=run.fingerprint,
             trial_id=new_id("trial"),
-            age_s=run.crash_age_s,
+            age_s=run.age_at_crash_s,
         )
 
-    # Small things.
+    # Helpers.
 
     def _ticket(self, run: Run) -> Ticket:
         request = run.request
