--- a/src/verbenawind/routing/engine_pool.py
+++ b/src/verbenawind/routing/engine_pool.py
@@ -168,7 +168,7 @@
                 request_id=ticket.request_id,
                 pool=self._name,
                 server_id=choice.server_id,
-                waited_s=round(self._clock.monotonic_s() - ticket.since_s, 4),
+                waited_s=round(self._clock.monotonic_s() - ticket.queued_at_s, 4),
                 considered=choice.considered,
                 reason=choice.reason,
             )
@@ -181,7 +181,7 @@
     def _headroom(self) -> int:
         if not self._policy.reserve:
             return 0
-        in_use = self.queue.kind_in_flight[WorkKind.APPLICATION]
+        in_use = self.queue.in_flight_by_kind[WorkKind.APPLICATION]
         demand = in_use + self.queue.queued(WorkKind.APPLICATION)
         return self._reserve.headroom(
             fraction=self.spec.application_reserve,
@@ -193,8 +193,8 @@
 
     def _tiers(self, ticket: Ticket, need: EngineNeed) -> list[Tier]:
         now_s = self._clock.monotonic_s()
-        rate = self.queue.turns_per_s()
-        wait_s = now_s - ticket.since_s + (1.0 / rate if rate else 0.0)
+        rate = self.queue.release_rate_per_s()
+        wait_s = now_s - ticket.queued_at_s + (1.0 / rate if rate else 0.0)
         tiers = []
         for tier_distance in self._members.distances():
             tier = self._tier(need, tier_distance, now_s, wait_s)
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -149,11 +149,11 @@
             # The queue is not aware of earlier attempts, which may have run.
             error.outcome = run.outcome()
             raise
-        start_s = self._clock.monotonic_s()
+        started_at_s = self._clock.monotonic_s()
         server_id = choice.server_id
         assert server_id is not None
         run.generation.server_id = server_id
-        wait_s = start_s - ticket.since_s
+        wait_s = started_at_s - ticket.queued_at_s
         self._stats.count_wait(run.request.kind, wait_s)
         self._metrics.observe_queue_wait(run.request.environment, run.request.kind, wait_s)
         if run.trial is not None:
@@ -169,10 +169,10 @@
             async with aclosing(self._stream(run, pool, view, choice)) as events:
                 async for event in events:
                     yield event
-            pool.queue.hold_times[ticket.kind].observe(self._clock.monotonic_s() - start_s)
+            pool.queue.hold_times[ticket.kind].observe(self._clock.monotonic_s() - started_at_s)
         except (AdmissionRefused, BackendServerUnreachable, BackendServerFailed) as error:
             run.excluded.add(server_id)
-            await self._handle_failure(run, pool, view, error, start_s)
+            await self._handle_failure(run, pool, view, error, started_at_s)
             raise
         finally:
             if run.trial is not None:
@@ -183,7 +183,7 @@
         self, run: Run, pool: EnginePool, view: ServerView, choice: Choice
     ) -> AsyncGenerator[EngineEvent, None]:
         request, generation = run.request, run.generation
-        start_s = self._clock.monotonic_s()
+        started_at_s = self._clock.monotonic_s()
         held_count, first = len(generation.token_ids), True
         self._stats.count_choice(choice.is_first_preference)
         events = stream(self._clients, view, request, generation, self._clock)
@@ -193,8 +193,8 @@
                 run.dispatched = True
                 if first:
                     first = False
-                    waited_s = self._clock.monotonic_s() - start_s
-                    pool.observe_ttft(view.server.server_id, waited_s)
+                    ttft_s = self._clock.monotonic_s() - started_at_s
+                    pool.observe_ttft(view.server.server_id, ttft_s)
                 yield event
                 if (
                     run.trial is not None
@@ -222,7 +222,7 @@
         pool: EnginePool,
         view: ServerView | None,
         error: VerbenawindError,
-        start_s: float,
+        started_at_s: float,
     ) -> None:
         """Update the state of the engine and of the request after a failed attempt."""
         if view is None:
@@ -242,7 +242,7 @@
         if failure is not FailureCause.CRASH:
             return
         crash_id = f"{server_id}/{view.server.incarnation}"
-        age_s = self._clock.monotonic_s() - start_s
+        age_s = self._clock.monotonic_s() - started_at_s
         if run.trial is not None:
             self._suspects.convict(run.fingerprint, crash_id)
         else:
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of the queue that grants slots on backend servers."""
+"""Tests of the queue for slots on backend servers."""
 
 import asyncio
 from datetime import UTC, datetime
@@ -12,7 +12,7 @@
 
 
 def ticket(request_id: str) -> Ticket:
-    """Return an application's ticket with a far deadline."""
+    """Return an application ticket with a distant deadline."""
     return Ticket(
         request_id=request_id,
         caller="desk",
@@ -24,8 +24,8 @@
 
 
 class TestSlotQueue:
-    def test_cancelled_request_takes_no_slot_with_it(self) -> None:
-        """A slot that comes free just as the next request is cancelled goes to the one after it."""
+    def test_cancelled_request_leaks_no_slot(self) -> None:
+        """A slot released while the next request is being cancelled goes to the one after it."""
 
         async def scenario() -> int:
             def choose(_: Ticket) -> Choice:
