--- a/tests/routing/generations.py
+++ b/tests/routing/generations.py
@@ -1,4 +1,4 @@
-"""Helpers of the generation tests: a small world of engines and daemons."""
+"""Helpers for the generation tests: simulated engines and daemons on virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -38,22 +38,22 @@
 def scenario(
     work: Callable[[World], Awaitable[Any]], regions: tuple[str, ...] = ("bangkok",)
 ) -> Any:
-    """Run *work* in a fresh world on virtual time."""
+    """Run *work* in a new world on virtual time."""
 
-    async def whole() -> Any:
+    async def run_and_stop() -> Any:
         world = World(seed=5, regions=regions)
         try:
             return await work(world)
         finally:
             await world.stop()
 
-    return run_virtual(whole())
+    return run_virtual(run_and_stop())
 
 
 async def start(
     world: World, *, engines: int = 3, daemons: int = 1, profile: EngineProfile | None = None
 ) -> list[Core]:
-    """Start daemons over engines and return the cores once they know each other."""
+    """Start engines and daemons; return the daemons' cores once discovery is complete."""
     zones = len(world.locations)
     for index in range(engines):
         world.add_engine(
@@ -68,7 +68,7 @@
     return cores
 
 
-def ask(
+def make_request(
     core: Core,
     request_id: str = "r1",
     prompt: str = "fold",
@@ -79,7 +79,7 @@
     timeout_s: float = 30.0,
     reconnect: bool = False,
 ) -> GenerateRequest:
-    """Return a request; its seed comes from its id."""
+    """Return a generation request whose seed is derived from its id."""
     return GenerateRequest(
         request_id=request_id,
         environment="siam-fold/production",
@@ -95,8 +95,10 @@
     )
 
 
-async def run(core: Core, request: GenerateRequest) -> list[EngineEvent] | VerbenawindError:
-    """Return the answer's events, or the error that ended it."""
+async def collect_events(
+    core: Core, request: GenerateRequest
+) -> list[EngineEvent] | VerbenawindError:
+    """Return all events of the generation, or the error that ended it."""
     try:
         return [event async for event in core.dispatcher.generate(request)]
     except VerbenawindError as error:
@@ -104,7 +106,7 @@
 
 
 def is_whole(events: list[EngineEvent] | VerbenawindError, request: GenerateRequest) -> bool:
-    """Return whether the events are exactly the answer to the request."""
+    """Return whether the events are exactly the expected answer to the request."""
     if isinstance(events, VerbenawindError) or not isinstance(events[-1], GenerationEnded):
         return False
     tokens = [
@@ -119,11 +121,11 @@
     ]
 
 
-def starts(world: World, request_id: str) -> int:
-    """Return how many engines started a request, counting repeats."""
+def count_starts(world: World, request_id: str) -> int:
+    """Return how many times engines started the request."""
     return sum(engine.started_request_ids.count(request_id) for engine in world.engines.values())
 
 
-def running(world: World) -> int:
-    """Return how many attempts the engines hold."""
+def count_running(world: World) -> int:
+    """Return the number of attempts running or waiting on the engines."""
     return sum(len(engine._running) + len(engine._waiting) for engine in world.engines.values())
--- a/tests/routing/test_generations.py
+++ b/tests/routing/test_generations.py
@@ -1,10 +1,18 @@
-"""Tests of generations: whole answers, retries, limits, leaving engines, shutdown."""
+"""Tests of generations: complete answers, refusals, retries, leaving engines and shutdown."""
 
 import asyncio
 
 import pytest
 
-from routing.generations import ask, is_whole, run, running, scenario, start, starts
+from routing.generations import (
+    collect_events,
+    count_running,
+    count_starts,
+    is_whole,
+    make_request,
+    scenario,
+    start,
+)
 from verbenawind.daemon import Core
 from verbenawind.errors import (
     DeadlineExceeded,
@@ -31,39 +39,39 @@
 def long_request(core: Core, number: int = 0, **options: object) -> GenerateRequest:
     """Return a request whose answer has at least 40 tokens."""
     for index in range(number * 1000, number * 1000 + 1000):
-        request = ask(core, f"long-{index}", max_tokens=60, **options)  # type: ignore[arg-type]
+        request = make_request(core, f"long-{index}", max_tokens=60, **options)  # type: ignore[arg-type]
         if natural_length(request.prompt, request.seed) >= 40:
             return request
-    raise AssertionError("no long request found")
+    raise AssertionError("no request with a long enough answer found")
 
 
 class TestWholeAnswers:
     def test_answer_resumes_after_a_crash(self) -> None:
-        """An engine that dies mid-stream is replaced; no token is missing, repeated or redrawn."""
+        """After an engine crash mid-stream no token is missing, repeated or sampled again."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
             request = long_request(core)
-            task = asyncio.ensure_future(run(core, request))
+            task = asyncio.ensure_future(collect_events(core, request))
             await asyncio.sleep(0.2)
             crashed = next(
                 engine for engine in world.engines.values() if engine.started_request_ids
             )
             crashed.crash()
             assert is_whole(await task, request)
-            assert starts(world, request.request_id) == 2
+            assert count_starts(world, request.request_id) == 2
 
         scenario(work)
 
     def test_missing_end_mark_is_resumed_elsewhere(self) -> None:
-        """A stream without its end mark is continued from the held tokens on another engine."""
+        """A stream without its end mark is resumed after the tokens received so far."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
-            request = ask(core)
+            request = make_request(core)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = True
-            task = asyncio.ensure_future(run(core, request))
+            task = asyncio.ensure_future(collect_events(core, request))
             await asyncio.sleep(1.0)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = False
@@ -72,44 +80,44 @@
         scenario(work)
 
     def test_stream_that_never_ends_is_an_error(self) -> None:
-        """When no engine ever sends an end mark the caller gets an error, not a short answer."""
+        """If no engine sends an end mark, the caller gets an error, not a truncated answer."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = True
-            answer = await run(core, ask(core, timeout_s=10.0))
+            answer = await collect_events(core, make_request(core, timeout_s=10.0))
             assert isinstance(answer, VerbenawindError)
             assert answer.outcome is not Outcome.NOT_RUN
 
         scenario(work)
 
     def test_answers_go_to_their_own_callers(self) -> None:
-        """Many answers at once, ending out of order, each reach their own request whole."""
+        """Concurrent answers that finish out of order each reach their own request completely."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
-            requests = [ask(core, f"r{index}", f"job {index % 5}") for index in range(60)]
-            answers = await asyncio.gather(*(run(core, request) for request in requests))
+            requests = [make_request(core, f"r{index}", f"job {index % 5}") for index in range(60)]
+            answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
             assert all(map(is_whole, answers, requests))
 
         scenario(work)
 
-    def test_caller_that_goes_away_cancels(self) -> None:
-        """Closing the stream stops the generation on the engine."""
+    def test_caller_disconnect_cancels_the_generation(self) -> None:
+        """Closing the stream cancels the generation on the engine."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
             events = core.dispatcher.generate(long_request(core))
             await anext(events)
             await events.aclose()
-            assert running(world) == 0
+            assert count_running(world) == 0
 
         scenario(work)
 
     @pytest.mark.parametrize("daemon", [0, 1])
-    def test_reconnect_gets_the_rest(self, daemon: int) -> None:
-        """A caller that lost its stream gets its whole answer at either daemon, none redrawn."""
+    def test_reconnect_gets_the_complete_answer(self, daemon: int) -> None:
+        """After a lost stream either daemon gives the complete answer without resampling tokens."""
 
         async def work(world: World) -> None:
             cores = await start(world, daemons=2)
@@ -118,7 +126,7 @@
             first = [await anext(events) for _ in range(3)]
             await events.aclose()
             again = GenerateRequest(**{**_fields(request), "reconnect": True})
-            answer = await run(cores[daemon], again)
+            answer = await collect_events(cores[daemon], again)
             assert is_whole(answer, request)
             assert isinstance(answer, list) and answer[:3] == first
 
@@ -126,88 +134,92 @@
 
     @pytest.mark.parametrize("daemon", [0, 1])
     def test_reconnect_takes_over_a_running_stream(self, daemon: int) -> None:
-        """While the first connection still seems alive its reconnect gets all, and it an error."""
+        """A reconnect during a running stream gets the complete answer; the old stream fails."""
 
         async def work(world: World) -> None:
             cores = await start(world, daemons=2)
             request = long_request(cores[0])
-            old = asyncio.ensure_future(run(cores[0], request))
+            old = asyncio.ensure_future(collect_events(cores[0], request))
             await asyncio.sleep(0.2)
             again = GenerateRequest(**{**_fields(request), "reconnect": True})
-            answer = await run(cores[daemon], again)
+            answer = await collect_events(cores[daemon], again)
             assert is_whole(answer, request)
             assert isinstance(await old, VerbenawindError)
-            assert running(world) == 0
+            assert count_running(world) == 0
 
         scenario(work)
 
     def test_finished_answer_is_replayed(self) -> None:
-        """A repeat of a finished request gets the same events without a second run."""
+        """A repeat of a finished request gets the same events without running again."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
-            request = ask(core)
-            first, second = await run(core, request), await run(core, request)
+            request = make_request(core)
+            first, second = await collect_events(core, request), await collect_events(core, request)
             assert first == second
-            assert starts(world, "r1") == 1
+            assert count_starts(world, "r1") == 1
 
         scenario(work)
 
-    def test_sample_is_drawn_anew(self) -> None:
-        """A sample that is asked for again under the same id runs again: none is replayed."""
+    def test_rollout_sample_is_drawn_again(self) -> None:
+        """A rollout sample that is requested again under the same id runs again."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
-            request = ask(core, kind=WorkKind.ROLLOUT)
-            await run(core, request)
-            assert is_whole(await run(core, request), request)
-            assert starts(world, "r1") == 2
+            request = make_request(core, kind=WorkKind.ROLLOUT)
+            await collect_events(core, request)
+            assert is_whole(await collect_events(core, request), request)
+            assert count_starts(world, "r1") == 2
 
         scenario(work)
 
-    def test_request_id_of_another_request_is_refused(self) -> None:
-        """A request id that comes with another prompt is refused as invalid."""
+    def test_reused_request_id_is_refused(self) -> None:
+        """A request id that was used with a different prompt is refused as invalid."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
-            await run(core, ask(core))
-            assert isinstance(await run(core, ask(core, prompt="other")), InvalidRequest)
+            await collect_events(core, make_request(core))
+            assert isinstance(
+                await collect_events(core, make_request(core, prompt="other")), InvalidRequest
+            )
 
         scenario(work)
 
 
 class TestRefusals:
     def test_overload_is_refused_at_once_and_did_not_run(self) -> None:
-        """A request that would miss its deadline is refused without delay, truly not run."""
+        """A request that would miss its deadline is refused without delay and never started."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=1, profile=SLOW)
             flood = [
-                asyncio.ensure_future(run(core, ask(core, f"f{index}", timeout_s=60.0)))
+                asyncio.ensure_future(
+                    collect_events(core, make_request(core, f"f{index}", timeout_s=60.0))
+                )
                 for index in range(40)
             ]
             await asyncio.sleep(6.0)
             before_s = world.clock.monotonic_s()
-            answer = await run(core, ask(core, "late", timeout_s=1.0))
+            answer = await collect_events(core, make_request(core, "late", timeout_s=1.0))
             assert world.clock.monotonic_s() == before_s
             assert isinstance(answer, Overloaded)
             assert answer.outcome is Outcome.NOT_RUN and (answer.retry_after_s or 0) > 0
-            assert starts(world, "late") == 0
+            assert count_starts(world, "late") == 0
             for task in flood:
                 task.cancel()
 
         scenario(work)
 
     def test_refused_as_not_run_never_started(self) -> None:
-        """Under four times the load every refusal that says not_run is true."""
+        """Under fourfold overload no request that was refused as not_run was started."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2, profile=SLOW)
-            requests = [ask(core, f"r{index}", timeout_s=4.0) for index in range(80)]
+            requests = [make_request(core, f"r{index}", timeout_s=4.0) for index in range(80)]
 
             async def later(index: int) -> object:
                 await asyncio.sleep(index * 0.1)
-                return await run(core, ask(core, f"r{index}", timeout_s=4.0))
+                return await collect_events(core, make_request(core, f"r{index}", timeout_s=4.0))
 
             answers = await asyncio.gather(*(later(index) for index in range(80)))
             refused = [
@@ -216,20 +228,20 @@
                 if isinstance(answer, VerbenawindError) and answer.outcome is Outcome.NOT_RUN
             ]
             assert refused
-            assert not any(starts(world, request_id) for request_id in refused)
+            assert not any(count_starts(world, request_id) for request_id in refused)
 
         scenario(work)
 
-    def test_refusal_after_a_cut_before_the_first_token_may_have_run(self) -> None:
-        """A request that reached an engine, was cut off and found no other may have run."""
+    def test_refusal_after_a_lost_connection_may_have_run(self) -> None:
+        """A request cut off from its only engine before the first token reports may_have_run."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=1, daemons=2)
             near, far = (location.zone for location in world.locations)
-            request = ask(cores[1], timeout_s=3.0)
-            answer = asyncio.create_task(run(cores[1], request))
+            request = make_request(cores[1], timeout_s=3.0)
+            answer = asyncio.create_task(collect_events(cores[1], request))
             await asyncio.sleep(0.02)
-            assert starts(world, request.request_id) == 1
+            assert count_starts(world, request.request_id) == 1
             world.network.cut(near, far)
             error = await answer
             assert isinstance(error, VerbenawindError)
@@ -237,16 +249,16 @@
 
         scenario(work, regions=("bangkok", "hat-yai"))
 
-    def test_refusal_for_lack_of_another_engine_may_have_run(self) -> None:
-        """A request that an engine took and lost, and that no other can take, may have run."""
+    def test_refusal_without_another_engine_may_have_run(self) -> None:
+        """A request lost by its only engine, with no other available, reports may_have_run."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=1, daemons=2)
             near, far = (location.zone for location in world.locations)
-            request = ask(cores[1])
-            answer = asyncio.create_task(run(cores[1], request))
+            request = make_request(cores[1])
+            answer = asyncio.create_task(collect_events(cores[1], request))
             await asyncio.sleep(0.02)
-            assert starts(world, request.request_id) == 1
+            assert count_starts(world, request.request_id) == 1
             world.network.cut(near, far)
             cores[1].fleet.mark_leaving("engine-0", 1)
             error = await answer
@@ -256,18 +268,18 @@
         scenario(work, regions=("bangkok", "hat-yai"))
 
     def test_passed_deadline_is_refused_before_dispatch(self) -> None:
-        """A request that arrives after its deadline is never handed to an engine."""
+        """A request that arrives after its deadline is never dispatched."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
-            answer = await run(core, ask(core, timeout_s=-1.0))
+            answer = await collect_events(core, make_request(core, timeout_s=-1.0))
             assert isinstance(answer, DeadlineExceeded) and answer.outcome is Outcome.NOT_RUN
-            assert starts(world, "r1") == 0
+            assert count_starts(world, "r1") == 0
 
         scenario(work)
 
     def test_pool_without_engines_is_refused_within_seconds(self) -> None:
-        """With every engine down an application is told so long before its deadline."""
+        """With all engines down an application request fails long before its deadline."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
@@ -275,36 +287,38 @@
                 engine.crash()
             await asyncio.sleep(1.0)
             before_s = world.clock.monotonic_s()
-            answer = await run(core, ask(core, timeout_s=60.0))
+            answer = await collect_events(core, make_request(core, timeout_s=60.0))
             assert isinstance(answer, NoBackendServer) and answer.outcome is Outcome.NOT_RUN
             assert world.clock.monotonic_s() - before_s < 10.0
 
         scenario(work)
 
     def test_caller_over_its_rate_is_limited(self) -> None:
-        """A caller beyond its rate gets rate_limited while another is served."""
+        """A caller above its rate is refused as rate limited while another caller is served."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
             answers = [
-                await run(core, ask(core, f"s{index}", caller="slow", max_tokens=1))
+                await collect_events(
+                    core, make_request(core, f"s{index}", caller="slow", max_tokens=1)
+                )
                 for index in range(4)
             ]
             limited = [answer for answer in answers if isinstance(answer, RateLimited)]
             assert limited and (limited[0].retry_after_s or 0) > 0
-            assert is_whole(await run(core, ask(core)), ask(core))
+            assert is_whole(await collect_events(core, make_request(core)), make_request(core))
 
         scenario(work)
 
     def test_caller_over_its_concurrency_is_limited(self) -> None:
-        """A caller with too many requests in flight is refused the next one."""
+        """A caller with too many requests in flight is refused further ones."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, profile=SLOW)
             answers = []
             for index in range(8):
-                request = ask(core, f"s{index}", caller="slow", timeout_s=60.0)
-                answers.append(asyncio.ensure_future(run(core, request)))
+                request = make_request(core, f"s{index}", caller="slow", timeout_s=60.0)
+                answers.append(asyncio.ensure_future(collect_events(core, request)))
                 await asyncio.sleep(0.5)
             done = await asyncio.gather(*answers)
             assert any(isinstance(answer, RateLimited) for answer in done)
@@ -314,28 +328,28 @@
 
 class TestRetries:
     def test_retries_stay_within_the_budget(self) -> None:
-        """While engines cut every stream, attempts stay near the budget: no retry storm."""
+        """While engines truncate every stream, attempts stay near the budget: no retry storm."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = True
-            requests = [ask(core, f"r{index}", timeout_s=20.0) for index in range(200)]
-            await asyncio.gather(*(run(core, request) for request in requests))
-            attempts = sum(starts(world, request.request_id) for request in requests)
+            requests = [make_request(core, f"r{index}", timeout_s=20.0) for index in range(200)]
+            await asyncio.gather(*(collect_events(core, request) for request in requests))
+            attempts = sum(count_starts(world, request.request_id) for request in requests)
             assert attempts <= 200 * 1.1 + 64 + 25
 
         scenario(work)
 
-    def test_half_dead_pool_serves_the_rest(self) -> None:
-        """With half of the engines refusing connections every request is still answered."""
+    def test_pool_with_half_of_the_engines_down_serves_all(self) -> None:
+        """With half of the engines unreachable every request is still answered."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=4)
             for index in (0, 1):
                 world.engines[f"engine-{index}"].faults.unreachable = True
-            requests = [ask(core, f"r{index}") for index in range(50)]
-            answers = await asyncio.gather(*(run(core, request) for request in requests))
+            requests = [make_request(core, f"r{index}") for index in range(50)]
+            answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
             assert all(map(is_whole, answers, requests))
 
         scenario(work)
@@ -343,7 +357,7 @@
 
 class TestLeaving:
     def test_leaving_engine_gets_no_new_work(self) -> None:
-        """Three seconds after an engine reports that it leaves, no daemon gives it work."""
+        """Three seconds after an engine reports that it is leaving, no daemon dispatches to it."""
 
         async def work(world: World) -> None:
             cores = await start(world, daemons=2)
@@ -352,7 +366,11 @@
             async def flood(core: Core, name: str) -> list[object]:
                 answers = []
                 for index in range(60):
-                    answers.append(asyncio.ensure_future(run(core, ask(core, f"{name}{index}"))))
+                    answers.append(
+                        asyncio.ensure_future(
+                            collect_events(core, make_request(core, f"{name}{index}"))
+                        )
+                    )
                     await asyncio.sleep(0.1)
                 return await asyncio.gather(*answers)
 
@@ -371,16 +389,16 @@
         scenario(work)
 
     def test_refusal_of_a_leaving_engine_marks_it(self) -> None:
-        """The first request that a leaving engine refuses goes elsewhere and marks it at once."""
+        """The first refusal by a leaving engine marks it as leaving; the request runs elsewhere."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
-            await run(core, ask(core))
+            await collect_events(core, make_request(core))
             first = next(engine for engine in world.engines.values() if engine.started_request_ids)
             for task in core._tasks:
                 task.cancel()
             first.leaving = True
-            events = core.dispatcher.generate(ask(core, "again"))
+            events = core.dispatcher.generate(make_request(core, "again"))
             await anext(events)
             view = core.fleet.view(first.server_id)
             assert view is not None and view.leaving
@@ -389,13 +407,15 @@
 
         scenario(work)
 
-    def test_queued_request_avoids_an_engine_that_leaves(self) -> None:
-        """A request that waits in the queue is not given to an engine marked meanwhile."""
+    def test_queued_request_avoids_a_leaving_engine(self) -> None:
+        """A queued request is not dispatched to an engine that was marked as leaving meanwhile."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2, profile=SLOW)
             flood = [
-                asyncio.ensure_future(run(core, ask(core, f"f{index}", timeout_s=60.0)))
+                asyncio.ensure_future(
+                    collect_events(core, make_request(core, f"f{index}", timeout_s=60.0))
+                )
                 for index in range(12)
             ]
             await asyncio.sleep(0.5)
@@ -409,17 +429,17 @@
 
 
 class TestDrain:
-    def test_drain_ends_what_is_in_flight(self) -> None:
-        """A draining daemon refuses new work as not run and lets streams end whole."""
+    def test_drain_finishes_requests_in_flight(self) -> None:
+        """A draining daemon refuses new requests as not_run and completes running streams."""
 
         async def work(world: World) -> None:
             (core,) = await start(world)
             request = long_request(core)
-            task = asyncio.ensure_future(run(core, request))
+            task = asyncio.ensure_future(collect_events(core, request))
             await asyncio.sleep(0.1)
             drain = asyncio.ensure_future(core.dispatcher.drain())
             await asyncio.sleep(0)
-            refused = await run(core, ask(core))
+            refused = await collect_events(core, make_request(core))
             assert isinstance(refused, Draining) and refused.outcome is Outcome.NOT_RUN
             await drain
             assert task.done() and is_whole(await task, request)
@@ -429,16 +449,16 @@
 
 class TestReserve:
     def test_applications_start_at_once_while_rollouts_flood(self) -> None:
-        """Under a flood of rollouts applications find a free slot, and every rollout is served."""
+        """Under a flood of rollouts applications never queue, and every rollout is served."""
 
         async def work(world: World) -> None:
             profile = EngineProfile(max_running=8)
             (core,) = await start(world, engines=2, profile=profile)
             flood = [
                 asyncio.ensure_future(
-                    run(
+                    collect_events(
                         core,
-                        ask(core, f"s{index}", kind=WorkKind.ROLLOUT, timeout_s=600.0),
+                        make_request(core, f"s{index}", kind=WorkKind.ROLLOUT, timeout_s=600.0),
                     )
                 )
                 for index in range(300)
@@ -446,7 +466,7 @@
             await asyncio.sleep(0.5)
             for index in range(20):
                 started_s = world.clock.monotonic_s()
-                events = core.dispatcher.generate(ask(core, f"a{index}"))
+                events = core.dispatcher.generate(make_request(core, f"a{index}"))
                 assert isinstance(await anext(events), TokensGenerated)
                 assert world.clock.monotonic_s() - started_s < 1.0
                 await events.aclose()
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -68,14 +68,14 @@
 def scenario(work: Callable[[World], Awaitable[Any]]) -> Any:
     """Run *work* in a new world on virtual time."""
 
-    async def whole() -> Any:
+    async def run_and_stop() -> Any:
         world = World(seed=3)
         try:
             return await work(world)
         finally:
             await world.stop()
 
-    return run_virtual(whole())
+    return run_virtual(run_and_stop())
 
 
 async def outcome(awaitable: Awaitable[ServiceResponse]) -> ServiceResponse | VerbenawindError:
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from routing.generations import ask, is_whole, run, scenario, start
+from routing.generations import collect_events, is_whole, make_request, scenario, start
 from verbenawind.daemon import Core
 from verbenawind.errors import Outcome, RequestConvicted
 from verbenawind.kernel.messages import GenerateRequest
@@ -31,7 +31,7 @@
 async def send_in_turn(cores: list[Core], name: str) -> list[object]:
     """Send the crashing request to each daemon in turn, each time under a new id."""
     return [
-        await run(core, ask(core, f"{name}-{index}", CRASHING_PROMPT))
+        await collect_events(core, make_request(core, f"{name}-{index}", CRASHING_PROMPT))
         for index, core in enumerate(cores)
     ]
 
@@ -57,13 +57,16 @@
         async def work(world: World) -> None:
             cores = await start(world, engines=3, daemons=2)
             requests: list[tuple[Core, GenerateRequest]] = [
-                (cores[index % 2], ask(cores[index % 2], f"i{index}", f"job {index}"))
+                (cores[index % 2], make_request(cores[index % 2], f"i{index}", f"job {index}"))
                 for index in range(24)
             ]
-            tasks = [asyncio.ensure_future(run(core, request)) for core, request in requests]
+            tasks = [
+                asyncio.ensure_future(collect_events(core, request)) for core, request in requests
+            ]
             await asyncio.sleep(0.15)
             assert isinstance(
-                await run(cores[0], ask(cores[0], "p", CRASHING_PROMPT)), RequestConvicted
+                await collect_events(cores[0], make_request(cores[0], "p", CRASHING_PROMPT)),
+                RequestConvicted,
             )
             answers = await asyncio.gather(*tasks)
             assert crashes(world) == 2
@@ -81,7 +84,7 @@
             (core,) = await start(world, engines=2)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = True
-            task = asyncio.ensure_future(run(core, ask(core)))
+            task = asyncio.ensure_future(collect_events(core, make_request(core)))
             await asyncio.sleep(0.6)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = False
@@ -95,14 +98,17 @@
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=3)
-            requests = [ask(core, f"i{index}", f"job {index}") for index in range(12)]
-            tasks = [asyncio.ensure_future(run(core, request)) for request in requests]
+            requests = [make_request(core, f"i{index}", f"job {index}") for index in range(12)]
+            tasks = [asyncio.ensure_future(collect_events(core, request)) for request in requests]
             await asyncio.sleep(0.15)
             world.engines["engine-1"].crash()
             answers = await asyncio.gather(*tasks)
             assert all(map(is_whole, answers, requests))
             assert not core.peers.items("convicted")
-            assert is_whole(await run(core, ask(core, "i99", "job 1")), ask(core, "i99", "job 1"))
+            assert is_whole(
+                await collect_events(core, make_request(core, "i99", "job 1")),
+                make_request(core, "i99", "job 1"),
+            )
 
         scenario(work)
 
@@ -111,7 +117,7 @@
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=4)
-            task = asyncio.ensure_future(run(core, ask(core, "i", "job")))
+            task = asyncio.ensure_future(collect_events(core, make_request(core, "i", "job")))
             for crash in range(2):
                 await crash_busy_engine(world)
                 assert crashes(world) == crash + 1
@@ -119,9 +125,9 @@
             assert isinstance(refusal, RequestConvicted)
             assert refusal.retry_after_s is not None and refusal.retry_after_s <= 20.0
             await asyncio.sleep(refusal.retry_after_s)
-            again = ask(core, "i2", "job")
-            assert is_whole(await run(core, again), again)
-            assert is_whole(await run(core, again), again)
+            again = make_request(core, "i2", "job")
+            assert is_whole(await collect_events(core, again), again)
+            assert is_whole(await collect_events(core, again), again)
 
         scenario(work)
 
@@ -130,7 +136,7 @@
 
         async def work(world: World) -> None:
             cores = await start(world, engines=6, daemons=3)
-            first = await run(cores[0], ask(cores[0], "p", CRASHING_PROMPT))
+            first = await collect_events(cores[0], make_request(cores[0], "p", CRASHING_PROMPT))
             assert isinstance(first, RequestConvicted) and first.retry_after_s is not None
             await asyncio.sleep(first.retry_after_s)
             answers = await send_in_turn(cores, "q") + await send_in_turn(cores, "r")
@@ -146,8 +152,10 @@
 
         async def work(world: World) -> None:
             cores = await start(world, engines=4, daemons=2)
-            requests = [ask(cores[0], f"i{index}", f"job {index}") for index in range(20)]
-            tasks = [asyncio.ensure_future(run(cores[0], request)) for request in requests]
+            requests = [make_request(cores[0], f"i{index}", f"job {index}") for index in range(20)]
+            tasks = [
+                asyncio.ensure_future(collect_events(cores[0], request)) for request in requests
+            ]
             await asyncio.sleep(0.15)
             world.network.cut("bangkok-a", "hat-yai-a")
             await asyncio.gather(*tasks)
