--- a/src/verbenawind/routing/engine_pool.py
+++ b/src/verbenawind/routing/engine_pool.py
@@ -155,13 +155,15 @@
     def choose(self, ticket: Ticket) -> Choice:
         """Select an engine for a ticket and log the reason."""
         self._refresh()
-        need = ticket.payload
-        assert isinstance(need, EngineNeed)
+        requirements = ticket.payload
+        assert isinstance(requirements, EngineNeed)
         if ticket.kind is WorkKind.ROLLOUT and self._only_reserved_slots_free():
             return Choice(
                 server_id=None, reason="the free slots are reserved for applications", considered=0
             )
-        choice = choose_engine(self._tiers(ticket, need), self._cross_region_cost(need.request))
+        choice = choose_engine(
+            self._tiers(ticket, requirements), self._cross_region_cost(requirements.request)
+        )
         if choice.server_id is not None:
             self._log.info(
                 "engine_chosen",
@@ -191,31 +193,35 @@
             now_s=self._clock.monotonic_s(),
         )
 
-    def _tiers(self, ticket: Ticket, need: EngineNeed) -> list[Tier]:
+    def _tiers(self, ticket: Ticket, requirements: EngineNeed) -> list[Tier]:
         now_s = self._clock.monotonic_s()
         rate = self.queue.release_rate_per_s()
         wait_s = now_s - ticket.queued_at_s + (1.0 / rate if rate else 0.0)
         tiers = []
         for tier_distance in self._members.distances():
-            tier = self._tier(need, tier_distance, now_s, wait_s)
+            tier = self._tier(requirements, tier_distance, now_s, wait_s)
             tiers.append(tier)
             if any(candidate.free for candidate in tier.candidates):
                 break
         return tiers
 
-    def _tier(self, need: EngineNeed, tier_distance: int, now_s: float, wait_s: float) -> Tier:
+    def _tier(
+        self, requirements: EngineNeed, tier_distance: int, now_s: float, wait_s: float
+    ) -> Tier:
         """Return the candidates at one distance.
 
         In a large tier only the preferred engines and a random sample are examined; all engines
         are examined if none of those has a free slot.
         """
         table = self._members.table(tier_distance)
-        preferred = table.preferred(need.prefix_slot_number) if self._policy.affinity else []
+        preferred = (
+            table.preferred(requirements.prefix_slot_number) if self._policy.affinity else []
+        )
         ids: Sequence[str] = table.members
-        if len(ids) > _MAX_FULL_SCAN and not need.trial:
+        if len(ids) > _MAX_FULL_SCAN and not requirements.trial:
             sampled = self._rng.sample(ids, _SAMPLE_SIZE)
             inspected = list(dict.fromkeys([*preferred, *sampled]))
-            candidates = self._candidates(need, inspected, preferred, now_s)
+            candidates = self._candidates(requirements, inspected, preferred, now_s)
             if any(candidate.free for candidate in candidates):
                 return Tier(
                     distance=tier_distance,
@@ -223,35 +229,35 @@
                     considered=len(inspected),
                     wait_s=wait_s,
                 )
-        candidates = self._candidates(need, ids, preferred, now_s)
-        if need.trial:
+        candidates = self._candidates(requirements, ids, preferred, now_s)
+        if requirements.trial:
             candidates = tuple(sorted(candidates, key=lambda item: item.load)[:1])
         return Tier(
             distance=tier_distance, candidates=candidates, considered=len(ids), wait_s=wait_s
         )
 
     def _candidates(
-        self, need: EngineNeed, ids: Sequence[str], preferred: Sequence[str], now_s: float
+        self, requirements: EngineNeed, ids: Sequence[str], preferred: Sequence[str], now_s: float
     ) -> tuple[Candidate, ...]:
         suitable = []
         for server_id in ids:
             view = self._fleet.view(server_id)
-            if view is not None and need.is_satisfied_by(view, now_s):
+            if view is not None and requirements.is_satisfied_by(view, now_s):
                 suitable.append(server_id)
-        avoided = need.excluded | (set() if need.trial else self.trial_servers)
+        avoided = requirements.excluded | (set() if requirements.trial else self.trial_servers)
         if avoided:
             suitable = [item for item in suitable if item not in avoided] or suitable
         return tuple(self._candidate(server_id, preferred) for server_id in suitable)
 
     def _candidate(self, server_id: str, preferred: Sequence[str]) -> Candidate:
-        own = self.queue.in_flight.get(server_id, 0)
+        own_in_flight = self.queue.in_flight.get(server_id, 0)
         slots = self.slots(server_id) if self._policy.limited else _UNLIMITED
-        load = own + self._load_of_others.get(server_id, 0)
+        load = own_in_flight + self._load_of_others.get(server_id, 0)
         return Candidate(
             server_id=server_id,
             preference=preferred.index(server_id) if server_id in preferred else None,
             load=load / self._capacity(self._fleet.view(server_id)),
-            free=max(0, slots - own),
+            free=max(0, slots - own_in_flight),
         )
 
     def _cross_region_cost(self, request: GenerateRequest) -> CrossRegionCost:
@@ -287,9 +293,9 @@
         if self._status_seen_at_s.get(server_id) == view.status_at_s or view.status is None:
             return
         self._status_seen_at_s[server_id] = view.status_at_s
-        own = self.queue.in_flight.get(server_id, 0)
+        own_in_flight = self.queue.in_flight.get(server_id, 0)
         reported = view.status.running + view.status.waiting
-        self._load_of_others[server_id] = max(0, reported - own)
+        self._load_of_others[server_id] = max(0, reported - own_in_flight)
         tier_distance = distance(view.server.location, self._fleet.location)
         limit.update(
             capacity=self._capacity(view),
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -292,16 +292,16 @@
 
     def _ticket(self, run: Run) -> Ticket:
         request = run.request
-        need = EngineNeed(request, set(run.excluded), trial=run.trial is not None)
+        requirements = EngineNeed(request, set(run.excluded), trial=run.trial is not None)
         return Ticket(
             request_id=request.request_id,
             caller=f"{request.environment}/{request.caller}",
             kind=request.kind,
             weight=1.0 + request.priority,
-            lane=(request.model, request.min_version, need.trial),
+            lane=(request.model, request.min_version, requirements.trial),
             deadline_s=request.deadline_s,
             resumed=run.dispatched,
-            payload=need,
+            payload=requirements,
         )
 
     def _budget(self, request: GenerateRequest) -> RetryBudget:
--- a/src/verbenawind/routing/server_choice.py
+++ b/src/verbenawind/routing/server_choice.py
@@ -91,8 +91,8 @@
             continue
         free = [candidate for candidate in tier.candidates if candidate.free > 0]
         if free and tier.distance == OTHER_REGION_DISTANCE and nearer is not None:
-            waiting = nearer.wait_s * cross_region.waiting_price_per_s
-            if waiting <= cross_region.price():
+            waiting_price = nearer.wait_s * cross_region.waiting_price_per_s
+            if waiting_price <= cross_region.price():
                 return _no_choice(
                     "waiting for a nearer engine costs less than using another region", considered
                 )
--- a/tests/routing/generations.py
+++ b/tests/routing/generations.py
@@ -105,7 +105,7 @@
         return error
 
 
-def is_whole(events: list[EngineEvent] | VerbenawindError, request: GenerateRequest) -> bool:
+def is_complete(events: list[EngineEvent] | VerbenawindError, request: GenerateRequest) -> bool:
     """Return whether the events are exactly the expected answer to the request."""
     if isinstance(events, VerbenawindError) or not isinstance(events[-1], GenerationEnded):
         return False
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -23,7 +23,7 @@
 from verbenawind.routing.server_choice import Candidate, CrossRegionCost, Tier, choose_engine
 from verbenawind.routing.trials import TrialRequest, _PoolTrialQueue
 
-CROSSING = CrossRegionCost(
+CROSS_REGION_COST = CrossRegionCost(
     size_bytes=1 << 20, price_per_gib=1.0, waiting_price_per_s=0.001, added_s=0.02
 )
 
@@ -35,27 +35,29 @@
     return Candidate(server_id=server_id, preference=preference, load=load, free=free)
 
 
-def tier(far: int, *candidates: Candidate, wait_s: float = 0.0) -> Tier:
+def tier(tier_distance: int, *candidates: Candidate, wait_s: float = 0.0) -> Tier:
     """Return a tier of candidates."""
-    return Tier(distance=far, candidates=candidates, considered=len(candidates), wait_s=wait_s)
+    return Tier(
+        distance=tier_distance, candidates=candidates, considered=len(candidates), wait_s=wait_s
+    )
 
 
 class TestChoice:
     def test_preferred_engine_within_bounded_load(self) -> None:
         """The preferred engine of the prefix is chosen although another one is less loaded."""
         engines = (candidate("a", load=0.5, preference=0), candidate("b", load=0.45))
-        choice = choose_engine([tier(0, *engines)], CROSSING)
+        choice = choose_engine([tier(0, *engines)], CROSS_REGION_COST)
         assert choice.server_id == "a" and choice.is_first_preference
 
     def test_overloaded_preferred_engine_is_passed_over(self) -> None:
         """The preferred engine is skipped when its load is far above the mean."""
         engines = (candidate("a", load=0.9, free=4, preference=0), candidate("b", load=0.1))
-        assert choose_engine([tier(0, *engines)], CROSSING).server_id == "b"
+        assert choose_engine([tier(0, *engines)], CROSS_REGION_COST).server_id == "b"
 
     def test_nearest_free_tier_wins(self) -> None:
         """An engine in the same zone is chosen over a less loaded one elsewhere in the region."""
         tiers = [tier(0, candidate("near", load=0.9)), tier(1, candidate("far"))]
-        assert choose_engine(tiers, CROSSING).server_id == "near"
+        assert choose_engine(tiers, CROSS_REGION_COST).server_id == "near"
 
     @pytest.mark.parametrize(("wait_s", "chosen"), [(0.5, None), (5.0, "far")])
     def test_region_is_crossed_when_waiting_costs_more(
@@ -63,18 +65,18 @@
     ) -> None:
         """Sending 1 MiB at 1 per GiB costs about as much as waiting 1 s at 0.001 per second."""
         tiers = [tier(0, candidate("near", free=0), wait_s=wait_s), tier(2, candidate("far"))]
-        choice = choose_engine(tiers, CROSSING)
+        choice = choose_engine(tiers, CROSS_REGION_COST)
         assert choice.server_id == chosen and choice.usable
 
     def test_region_is_crossed_when_nothing_near_fits(self) -> None:
         """Without a suitable engine nearer, another region is used whatever it costs."""
-        choice = choose_engine([tier(0), tier(2, candidate("far"))], CROSSING)
+        choice = choose_engine([tier(0), tier(2, candidate("far"))], CROSS_REGION_COST)
         assert choice.server_id == "far"
 
     def test_no_fitting_engine_is_not_usable(self) -> None:
         """``usable`` is False without a suitable engine and True if all of them are full."""
-        assert not choose_engine([tier(0)], CROSSING).usable
-        assert choose_engine([tier(0, candidate("a", free=0))], CROSSING).usable
+        assert not choose_engine([tier(0)], CROSS_REGION_COST).usable
+        assert choose_engine([tier(0, candidate("a", free=0))], CROSS_REGION_COST).usable
 
 
 class TestFairQueue:
--- a/tests/routing/test_generations.py
+++ b/tests/routing/test_generations.py
@@ -8,7 +8,7 @@
     collect_events,
     count_running,
     count_starts,
-    is_whole,
+    is_complete,
     make_request,
     scenario,
     start,
@@ -45,7 +45,7 @@
     raise AssertionError("no request with a long enough answer found")
 
 
-class TestWholeAnswers:
+class TestCompleteAnswers:
     def test_answer_resumes_after_a_crash(self) -> None:
         """After an engine crash mid-stream no token is missing, repeated or sampled again."""
 
@@ -58,7 +58,7 @@
                 engine for engine in world.engines.values() if engine.started_request_ids
             )
             crashed.crash()
-            assert is_whole(await task, request)
+            assert is_complete(await task, request)
             assert count_starts(world, request.request_id) == 2
 
         scenario(work)
@@ -75,7 +75,7 @@
             await asyncio.sleep(1.0)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = False
-            assert is_whole(await task, request)
+            assert is_complete(await task, request)
 
         scenario(work)
 
@@ -99,7 +99,7 @@
             (core,) = await start(world)
             requests = [make_request(core, f"r{index}", f"job {index % 5}") for index in range(60)]
             answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
-            assert all(map(is_whole, answers, requests))
+            assert all(map(is_complete, answers, requests))
 
         scenario(work)
 
@@ -127,7 +127,7 @@
             await events.aclose()
             again = GenerateRequest(**{**_fields(request), "reconnect": True})
             answer = await collect_events(cores[daemon], again)
-            assert is_whole(answer, request)
+            assert is_complete(answer, request)
             assert isinstance(answer, list) and answer[:3] == first
 
         scenario(work)
@@ -143,7 +143,7 @@
             await asyncio.sleep(0.2)
             again = GenerateRequest(**{**_fields(request), "reconnect": True})
             answer = await collect_events(cores[daemon], again)
-            assert is_whole(answer, request)
+            assert is_complete(answer, request)
             assert isinstance(await old, VerbenawindError)
             assert count_running(world) == 0
 
@@ -168,7 +168,7 @@
             (core,) = await start(world)
             request = make_request(core, kind=WorkKind.ROLLOUT)
             await collect_events(core, request)
-            assert is_whole(await collect_events(core, request), request)
+            assert is_complete(await collect_events(core, request), request)
             assert count_starts(world, "r1") == 2
 
         scenario(work)
@@ -306,7 +306,7 @@
             ]
             limited = [answer for answer in answers if isinstance(answer, RateLimited)]
             assert limited and (limited[0].retry_after_s or 0) > 0
-            assert is_whole(await collect_events(core, make_request(core)), make_request(core))
+            assert is_complete(await collect_events(core, make_request(core)), make_request(core))
 
         scenario(work)
 
@@ -350,7 +350,7 @@
                 world.engines[f"engine-{index}"].faults.unreachable = True
             requests = [make_request(core, f"r{index}") for index in range(50)]
             answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
-            assert all(map(is_whole, answers, requests))
+            assert all(map(is_complete, answers, requests))
 
         scenario(work)
 
@@ -442,7 +442,7 @@
             refused = await collect_events(core, make_request(core))
             assert isinstance(refused, Draining) and refused.outcome is Outcome.NOT_RUN
             await drain
-            assert task.done() and is_whole(await task, request)
+            assert task.done() and is_complete(await task, request)
 
         scenario(work)
 
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from routing.generations import collect_events, is_whole, make_request, scenario, start
+from routing.generations import collect_events, is_complete, make_request, scenario, start
 from verbenawind.daemon import Core
 from verbenawind.errors import Outcome, RequestConvicted
 from verbenawind.kernel.messages import GenerateRequest
@@ -70,10 +70,10 @@
             )
             answers = await asyncio.gather(*tasks)
             assert crashes(world) == 2
-            whole = [
-                is_whole(answer, pair[1]) for answer, pair in zip(answers, requests, strict=True)
+            complete = [
+                is_complete(answer, pair[1]) for answer, pair in zip(answers, requests, strict=True)
             ]
-            assert all(whole)
+            assert all(complete)
 
         scenario(work)
 
@@ -103,9 +103,9 @@
             await asyncio.sleep(0.15)
             world.engines["engine-1"].crash()
             answers = await asyncio.gather(*tasks)
-            assert all(map(is_whole, answers, requests))
+            assert all(map(is_complete, answers, requests))
             assert not core.peers.items("convicted")
-            assert is_whole(
+            assert is_complete(
                 await collect_events(core, make_request(core, "i99", "job 1")),
                 make_request(core, "i99", "job 1"),
             )
@@ -126,8 +126,8 @@
             assert refusal.retry_after_s is not None and refusal.retry_after_s <= 20.0
             await asyncio.sleep(refusal.retry_after_s)
             again = make_request(core, "i2", "job")
-            assert is_whole(await collect_events(core, again), again)
-            assert is_whole(await collect_events(core, again), again)
+            assert is_complete(await collect_events(core, again), again)
+            assert is_complete(await collect_events(core, again), again)
 
         scenario(work)
 
