--- a/src/verbenawind/routing/at_most_once.py
+++ b/src/verbenawind/routing/at_most_once.py
@@ -177,7 +177,8 @@
             except BackendServerFailed as error:
                 await self._record_unknown(claim)
                 raise OutcomeUnknown(
-                    f"request {request.request_id} was sent to {grant.server_id}: {error.message}"
+                    f"request {request.request_id} was sent to {grant.server_id}, "
+                    f"its outcome is unknown: {error.message}"
                 ) from error
             else:
                 await self._record_ran(claim, response)
