--- a/src/verbenawind/routing/dispatcher.py
+++ b/src/verbenawind/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches requests to backend servers."""
+"""Entry point of routing: admits requests, queues them, and runs and retries their attempts."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -60,7 +60,7 @@
     return cores
 
 
-def runs(world: World, key: str = "k1") -> int:
+def count_runs(world: World, key: str = "k1") -> int:
     """Return how many times the booking ran, summed over all hosts."""
     return sum(service.runs[key] for service in world.services.values())
 
@@ -78,7 +78,9 @@
     return run_virtual(run_and_stop())
 
 
-async def outcome(awaitable: Awaitable[ServiceResponse]) -> ServiceResponse | VerbenawindError:
+async def response_or_error(
+    awaitable: Awaitable[ServiceResponse],
+) -> ServiceResponse | VerbenawindError:
     """Return the response or the error raised instead."""
     try:
         return await awaitable
@@ -97,7 +99,7 @@
                 booking(cores[0], idempotent=True), SPEC
             )
             assert answer.status == 200
-            assert runs(world) == 2
+            assert count_runs(world) == 2
 
         scenario(work)
 
@@ -108,7 +110,7 @@
             cores = await start(world)
             for service in world.services.values():
                 service.unreachable = True
-            error = await outcome(
+            error = await response_or_error(
                 cores[0].dispatcher.call_service(booking(cores[0], idempotent=True), SPEC)
             )
             assert isinstance(error, VerbenawindError)
@@ -124,12 +126,14 @@
             host = world.services["orders-0"]
             host.lose_next_answers = 1
             call = asyncio.create_task(
-                outcome(cores[0].dispatcher.call_service(booking(cores[0], idempotent=True), SPEC))
+                response_or_error(
+                    cores[0].dispatcher.call_service(booking(cores[0], idempotent=True), SPEC)
+                )
             )
             await asyncio.sleep(host.answer_s / 2)
             cores[0].fleet.mark_leaving("orders-0", 1)
             error = await call
-            assert runs(world) == 1
+            assert count_runs(world) == 1
             assert isinstance(error, VerbenawindError)
             assert error.outcome is Outcome.MAY_HAVE_RUN
 
@@ -157,7 +161,7 @@
             again = await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
             other = await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert first.body == again.body == other.body
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -185,7 +189,7 @@
                 *(core.dispatcher.call_service(booking(core), SPEC) for core in cores * 3)
             )
             assert len({answer.body for answer in answers}) == 1
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -198,7 +202,7 @@
             for core in cores:
                 with pytest.raises(IdempotencyKeyReused):
                     await core.dispatcher.call_service(booking(core, body=b"capes"), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -213,7 +217,7 @@
                 with pytest.raises(OutcomeUnknown) as caught:
                     await core.dispatcher.call_service(booking(core), SPEC)
                 assert caught.value.outcome is Outcome.MAY_HAVE_RUN
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -226,10 +230,10 @@
             with pytest.raises(StoreUnavailable) as caught:
                 await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
             assert caught.value.outcome is Outcome.NOT_RUN
-            assert runs(world) == 0
+            assert count_runs(world) == 0
             world.table.faults.down = False
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -242,7 +246,7 @@
             world.table.faults.lose_next_answers = lost
             await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -255,10 +259,10 @@
             with pytest.raises(StoreUnavailable) as caught:
                 await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
             assert caught.value.outcome is Outcome.NOT_RUN
-            assert runs(world) == 0
+            assert count_runs(world) == 0
             world.table.faults.lose_answer_rate = 0.0
             await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -271,7 +275,7 @@
             await claims.claim(booking(cores[0], timeout_s=1.0), "claim-x")
             with pytest.raises(OutcomeUnknown):
                 await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
-            assert runs(world) == 0
+            assert count_runs(world) == 0
 
         scenario(work)
 
@@ -288,7 +292,7 @@
             for service in world.services.values():
                 service.unreachable = False
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -304,7 +308,7 @@
             call.cancel()
             await asyncio.sleep(1.0)
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
 
@@ -323,6 +327,6 @@
             await cores[0].dispatcher.services.finish()
             other = await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert first.body == other.body
-            assert runs(world) == 1
+            assert count_runs(world) == 1
 
         scenario(work)
