--- a/src/verbenawind/routing/slots.py
+++ b/src/verbenawind/routing/slots.py
@@ -241,7 +241,7 @@
             )
         if self.queued() >= self._policy.max_queued:
             raise Overloaded(
-                f"the queue of {self._name} is full with {self.queued()} requests",
+                f"{self._name} has {self.queued()} requests queued and accepts no more",
                 retry_after_s=self._retry_after_s(),
             )
         if not self._policy.shed:
