--- a/bench/routing.py
+++ b/bench/routing.py
@@ -21,7 +21,7 @@
 )
 from verbenawind.kernel.ports import Peer
 from verbenawind.routing import RoutingPolicy
-from verbenawind.routing.engine_pool import EngineNeed, EnginePool
+from verbenawind.routing.engine_pool import EnginePool, EngineRequirements
 from verbenawind.routing.slots import Ticket
 from verbenawind.standins.engine import EngineProfile
 from verbenawind.standins.world import run_virtual
@@ -366,7 +366,7 @@
         weight=1.0,
         lane="tuner",
         deadline_s=request.deadline_s,
-        payload=EngineNeed(request, set(), trial=False),
+        payload=EngineRequirements(request, set(), trial=False),
     )
 
 
--- a/src/verbenawind/routing/engine_pool.py
+++ b/src/verbenawind/routing/engine_pool.py
@@ -26,7 +26,7 @@
 )
 from verbenawind.routing.slots import SlotQueue, Ticket
 
-__all__ = ["EngineNeed", "EnginePool"]
+__all__ = ["EnginePool", "EngineRequirements"]
 
 _REFRESH_PERIOD_S = 0.25
 _SAMPLE_SIZE = 2
@@ -36,7 +36,7 @@
 _CROSS_REGION_ADDED_S = 0.024
 
 
-class EngineNeed:
+class EngineRequirements:
     """The requirements of a generation on its engine.
 
     Args:
@@ -156,7 +156,7 @@
         """Select an engine for a ticket and log the reason."""
         self._refresh()
         requirements = ticket.payload
-        assert isinstance(requirements, EngineNeed)
+        assert isinstance(requirements, EngineRequirements)
         if ticket.kind is WorkKind.ROLLOUT and self._only_reserved_slots_free():
             return Choice(
                 server_id=None, reason="the free slots are reserved for applications", considered=0
@@ -193,7 +193,7 @@
             now_s=self._clock.monotonic_s(),
         )
 
-    def _tiers(self, ticket: Ticket, requirements: EngineNeed) -> list[Tier]:
+    def _tiers(self, ticket: Ticket, requirements: EngineRequirements) -> list[Tier]:
         now_s = self._clock.monotonic_s()
         rate = self.queue.release_rate_per_s()
         wait_s = now_s - ticket.queued_at_s + (1.0 / rate if rate else 0.0)
@@ -206,7 +206,7 @@
         return tiers
 
     def _tier(
-        self, requirements: EngineNeed, tier_distance: int, now_s: float, wait_s: float
+        self, requirements: EngineRequirements, tier_distance: int, now_s: float, wait_s: float
     ) -> Tier:
         """Return the candidates at one distance.
 
@@ -237,7 +237,11 @@
         )
 
     def _candidates(
-        self, requirements: EngineNeed, ids: Sequence[str], preferred: Sequence[str], now_s: float
+        self,
+        requirements: EngineRequirements,
+        ids: Sequence[str],
+        preferred: Sequence[str],
+        now_s: float,
     ) -> tuple[Candidate, ...]:
         suitable = []
         for server_id in ids:
--- a/src/verbenawind/routing/runs.py
+++ b/src/verbenawind/routing/runs.py
@@ -21,7 +21,7 @@
 from verbenawind.kernel.ports import BackendClients, PeerBus
 from verbenawind.metrics import Metrics
 from verbenawind.routing.attempts import CrashDetector, FailureCause, stream
-from verbenawind.routing.engine_pool import EngineNeed, EnginePool
+from verbenawind.routing.engine_pool import EnginePool, EngineRequirements
 from verbenawind.routing.generation_cache import Generation
 from verbenawind.routing.retries import RetryBudget, backoff_s
 from verbenawind.routing.server_choice import OTHER_REGION_DISTANCE, Choice
@@ -292,7 +292,7 @@
 
     def _ticket(self, run: Run) -> Ticket:
         request = run.request
-        requirements = EngineNeed(request, set(run.excluded), trial=run.trial is not None)
+        requirements = EngineRequirements(request, set(run.excluded), trial=run.trial is not None)
         return Ticket(
             request_id=request.request_id,
             caller=f"{request.environment}/{request.caller}",
