--- a/src/verbenawind/daemon.py
+++ b/src/verbenawind/daemon.py
@@ -185,7 +185,11 @@
         stats = self.dispatcher.stats
         for name, value, help_text in (
             ("engine_choices", stats.choices, "Choices of an engine so far."),
-            ("engine_choices_by_prefix", stats.affine_choices, "Those that followed the prefix."),
+            (
+                "engine_choices_by_prefix",
+                stats.first_preference_choices,
+                "Those that followed the prefix.",
+            ),
             ("attempt_retries", stats.retries, "Attempts that were retried so far."),
         ):
             self.metrics.set_value(name, help_text, value)
--- a/src/verbenawind/routing/stats.py
+++ b/src/verbenawind/routing/stats.py
@@ -16,9 +16,9 @@
     """
 
     __slots__ = (
-        "affine_choices",
         "choices",
         "cross_region_bytes",
+        "first_preference_choices",
         "refusals",
         "retries",
         "waits_s",
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.choices = 0
-        self.affine_choices = 0
+        self.first_preference_choices = 0
         self.cross_region_bytes = 0
         self.retries = 0
         self.refusals: Counter[str] = Counter()
@@ -37,7 +37,7 @@
     def count_choice(self, is_first_preference: bool) -> None:
         """Count an engine choice and whether it was the first preference of the prefix."""
         self.choices += 1
-        self.affine_choices += is_first_preference
+        self.first_preference_choices += is_first_preference
 
     def count_wait(self, kind: WorkKind, wait_s: float) -> None:
         """Record how long a request waited in the queue before it got a slot."""
