--- a/src/verbenawind/routing/limits.py
+++ b/src/verbenawind/routing/limits.py
@@ -1,99 +1,103 @@
-"""This daemon's share of an engine's concurrency, adapted from the engine's own latency."""
+"""The adaptive limit on the requests that this daemon keeps in flight on one engine."""
 
 __all__ = ["EngineLimit"]
 
-_BASE_WINDOW_S = 10.0
-_QUEUEING_TARGET_S = 0.1
-_DECREASE = 0.8
-_DECREASE_PERIOD_S = 0.25
-_BUSY_FRACTION = 0.9
+_MIN_TTFT_WINDOW_S = 10.0
+_QUEUEING_DELAY_TARGET_S = 0.1
+_DECREASE_FACTOR = 0.8
+_MIN_DECREASE_INTERVAL_S = 0.25
+_FULL_FRACTION = 0.9
 
 
 class EngineLimit:
-    """How many requests this daemon keeps on one engine.
+    """Adapts this daemon's concurrency limit for one engine to the engine's queueing delay.
 
-    The time to the first token, above the least one seen of late, is the engine's own queueing;
-    the limit falls when that exceeds a target while the engine reports no free place, and
-    rises while it is used up. Above its even
-    share a daemon only borrows: it goes on while the engine reports free places.
+    The queueing delay is the time to first token (TTFT) minus the minimum TTFT of the recent
+    windows. The limit decreases when the delay exceeds a target while the engine reports no free
+    slots, and increases while this daemon uses the limit fully. Beyond the daemon's even share
+    the limit increases only while the engine reports free slots, and falls back to the share when
+    the engine reports queued requests.
 
     Args:
         now_s: Monotonic time, in seconds.
     """
 
     __slots__ = (
-        "_base_s",
+        "_adapted_limit",
         "_ceiling",
         "_decreased_at_s",
-        "_has_places",
-        "_previous_base_s",
+        "_has_free_slots",
+        "_min_ttft_s",
+        "_previous_min_ttft_s",
         "_share",
-        "_value",
-        "_window_at_s",
+        "_window_start_s",
     )
 
     def __init__(self, now_s: float) -> None:
         self._share = 1.0
         self._ceiling = 1.0
-        self._value: float | None = None
-        self._has_places = False
-        self._base_s = float("inf")
-        self._previous_base_s = float("inf")
-        self._window_at_s = now_s
+        self._adapted_limit: float | None = None
+        self._has_free_slots = False
+        self._min_ttft_s = float("inf")
+        self._previous_min_ttft_s = float("inf")
+        self._window_start_s = now_s
         self._decreased_at_s = now_s
 
     def slots(self) -> int:
-        """Return the limit now, at least 1."""
-        value = self._share if self._value is None else self._value
-        return max(1, int(min(value, self._ceiling) + 1e-9))
+        """Return the current limit, at least 1."""
+        limit = self._share if self._adapted_limit is None else self._adapted_limit
+        return max(1, int(min(limit, self._ceiling) + 1e-9))
 
-    def divide(
-        self, *, capacity: int, users: float, running: int, waiting: int, rising: bool
+    def update(
+        self, *, capacity: int, daemons: float, running: int, waiting: int, has_queued: bool
     ) -> None:
-        """Take in a report of the engine.
+        """Apply a status report of the engine.
 
         Args:
-            capacity: Requests that the engine runs at once.
-            users: Daemons that use the engine.
-            running: Requests it runs.
-            waiting: Requests that wait in its own queue.
-            rising: Whether this daemon has requests waiting.
+            capacity: Maximum number of requests that the engine runs concurrently.
+            daemons: Number of daemons that share the engine.
+            running: Requests running on the engine.
+            waiting: Requests waiting in the engine's own queue.
+            has_queued: Whether requests are queued at this daemon.
         """
-        self._share = max(1.0, capacity / users)
+        self._share = max(1.0, capacity / daemons)
         self._ceiling = float(capacity)
-        self._has_places = waiting == 0 and running < capacity * _BUSY_FRACTION
-        if self._value is None:
+        self._has_free_slots = waiting == 0 and running < capacity * _FULL_FRACTION
+        if self._adapted_limit is None:
             return
-        if waiting > 0 and self._value > self._share:
-            self._value = max(self._share, self._value * _DECREASE)
-        elif rising and self._has_places:
-            self._value = min(self._ceiling, max(self._value, self._share) + 1.0)
+        if waiting > 0 and self._adapted_limit > self._share:
+            self._adapted_limit = max(self._share, self._adapted_limit * _DECREASE_FACTOR)
+        elif has_queued and self._has_free_slots:
+            self._adapted_limit = min(self._ceiling, max(self._adapted_limit, self._share) + 1.0)
 
-    def observe_start(self, start_s: float, now_s: float, *, used_up: bool) -> None:
-        """Take in the time from dispatch to the first token, in seconds."""
-        self._roll_window(now_s)
-        self._base_s = min(self._base_s, start_s)
-        base_s = min(self._base_s, self._previous_base_s)
-        value = self._share if self._value is None else self._value
-        late = start_s - base_s > max(_QUEUEING_TARGET_S, base_s)
-        # With free places on the engine the delay is this daemon's own or the prompt's length.
-        if late and not self._has_places:
-            if now_s - self._decreased_at_s >= _DECREASE_PERIOD_S:
+    def observe_ttft(self, ttft_s: float, now_s: float, *, limit_reached: bool) -> None:
+        """Apply a measured time from dispatch to the first token, in seconds.
+
+        ``limit_reached`` says whether this daemon had as many requests in flight as the limit.
+        """
+        self._advance_window(now_s)
+        self._min_ttft_s = min(self._min_ttft_s, ttft_s)
+        min_ttft_s = min(self._min_ttft_s, self._previous_min_ttft_s)
+        limit = self._share if self._adapted_limit is None else self._adapted_limit
+        late = ttft_s - min_ttft_s > max(_QUEUEING_DELAY_TARGET_S, min_ttft_s)
+        # While the engine has free slots, a long TTFT stems from this daemon or from a long prompt.
+        if late and not self._has_free_slots:
+            if now_s - self._decreased_at_s >= _MIN_DECREASE_INTERVAL_S:
                 self._decreased_at_s = now_s
-                self._value = max(1.0, min(value, self._ceiling) * _DECREASE)
+                self._adapted_limit = max(1.0, min(limit, self._ceiling) * _DECREASE_FACTOR)
             return
-        if used_up and value < self._share:
-            self._value = min(self._share, value + 1.0 / value)
+        if limit_reached and limit < self._share:
+            self._adapted_limit = min(self._share, limit + 1.0 / limit)
 
-    def refuse(self, now_s: float) -> None:
-        """Take in that the engine refused a request."""
-        if now_s - self._decreased_at_s >= _DECREASE_PERIOD_S:
+    def record_refusal(self, now_s: float) -> None:
+        """Decrease the limit because the engine refused a request."""
+        if now_s - self._decreased_at_s >= _MIN_DECREASE_INTERVAL_S:
             self._decreased_at_s = now_s
-            self._value = max(1.0, self.slots() * _DECREASE)
+            self._adapted_limit = max(1.0, self.slots() * _DECREASE_FACTOR)
 
-    def _roll_window(self, now_s: float) -> None:
-        if now_s - self._window_at_s < _BASE_WINDOW_S:
+    def _advance_window(self, now_s: float) -> None:
+        if now_s - self._window_start_s < _MIN_TTFT_WINDOW_S:
             return
-        self._window_at_s = now_s
-        self._previous_base_s = self._base_s
-        self._base_s = float("inf")
+        self._window_start_s = now_s
+        self._previous_min_ttft_s = self._min_ttft_s
+        self._min_ttft_s = float("inf")
--- a/src/verbenawind/routing/reserve.py
+++ b/src/verbenawind/routing/reserve.py
@@ -1,43 +1,43 @@
-"""How many free slots of a pool rollouts leave to application callers."""
+"""Reserves slots of a pool for application requests while rollouts use the rest."""
 
 import math
 
 __all__ = ["ApplicationReserve"]
 
 _DECAY_S = 30.0
-_GROWTH = 1.25
+_PEAK_MARGIN = 1.25
 
 
 class ApplicationReserve:
-    """Keeps free what applications are likely to need, at most their share of the pool.
+    """Keeps the slots free that applications are expected to need, up to their share of the pool.
 
-    The likely need is a little above the recent peak of application requests; the peak decays,
-    so that rollouts get all that applications leave.
+    The expected need is slightly above the recent peak of application requests. The peak decays
+    over time, so that rollouts can use every slot that applications leave idle.
 
     Args:
         now_s: Monotonic time, in seconds.
     """
 
-    __slots__ = ("_at_s", "_peak")
+    __slots__ = ("_peak", "_updated_at_s")
 
     def __init__(self, now_s: float) -> None:
         self._peak = 0.0
-        self._at_s = now_s
+        self._updated_at_s = now_s
 
     def headroom(
-        self, *, fraction: float, slots: int, in_use: int, wanted: int, now_s: float
+        self, *, fraction: float, slots: int, in_use: int, demand: int, now_s: float
     ) -> int:
-        """Return how many slots must stay free of new rollout work.
+        """Return how many free slots new rollout requests must not use.
 
         Args:
             fraction: The applications' share of the pool.
-            slots: The pool's slots.
-            in_use: Slots that applications hold.
-            wanted: Application requests in flight and waiting.
+            slots: Number of slots in the pool.
+            in_use: Slots in use by application requests.
+            demand: Application requests in flight and queued.
             now_s: Monotonic time, in seconds.
         """
-        decayed = self._peak * math.exp((self._at_s - now_s) / _DECAY_S)
-        self._peak = max(float(wanted), decayed)
-        self._at_s = now_s
-        likely = math.ceil(self._peak * _GROWTH) + 1
-        return max(0, min(int(fraction * slots), likely) - in_use)
+        decayed = self._peak * math.exp((self._updated_at_s - now_s) / _DECAY_S)
+        self._peak = max(float(demand), decayed)
+        self._updated_at_s = now_s
+        expected_need = math.ceil(self._peak * _PEAK_MARGIN) + 1
+        return max(0, min(int(fraction * slots), expected_need) - in_use)
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -1,43 +1,44 @@
-"""Tests of requests that crash engines: trials, convictions, bystanders."""
+"""Tests of requests that crash engines: trials, convictions and unaffected requests."""
 
 import asyncio
 
-from routing.generations import ask, is_whole, run, scenario, start
+from routing.generations import collect_events, is_complete, make_request, scenario, start
 from verbenawind.daemon import Core
 from verbenawind.errors import Outcome, RequestConvicted
 from verbenawind.kernel.messages import GenerateRequest
 from verbenawind.standins.engine import CRASH_MARK
 from verbenawind.standins.world import World
 
-POISON = f"{CRASH_MARK} quote"
+CRASHING_PROMPT = f"{CRASH_MARK} quote"
 
 
 def crashes(world: World) -> int:
-    """Return how many times engines crashed."""
+    """Return the number of engine crashes so far."""
     return sum(engine.crashes for engine in world.engines.values())
 
 
 async def crash_busy_engine(world: World) -> None:
-    """Crash the first engine that generates."""
+    """Crash the first engine that has a running generation."""
     for _ in range(1000):
         busy = [engine for engine in world.engines.values() if engine._running]
         if busy:
             busy[0].crash()
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("no engine has begun to generate")
+    raise AssertionError("no engine started a generation")
 
 
 async def send_in_turn(cores: list[Core], name: str) -> list[object]:
-    """Send the poisonous request to each daemon in turn under fresh ids."""
+    """Send the crashing request to each daemon in turn, each time under a new id."""
     return [
-        await run(core, ask(core, f"{name}-{index}", POISON)) for index, core in enumerate(cores)
+        await collect_events(core, make_request(core, f"{name}-{index}", CRASHING_PROMPT))
+        for index, core in enumerate(cores)
     ]
 
 
 class TestSuspects:
-    def test_poison_takes_down_two_engines_at_most(self) -> None:
-        """Resent to every daemon in turn, again and again, one request crashes two engines."""
+    def test_crashing_request_crashes_two_engines_at_most(self) -> None:
+        """A request resent repeatedly to every daemon crashes two engines in total."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=6, daemons=3)
@@ -50,35 +51,40 @@
 
         scenario(work)
 
-    def test_bystanders_get_their_answers(self) -> None:
-        """Requests in flight at any daemon on the engines that crash are answered whole."""
+    def test_other_requests_on_crashed_engines_are_answered(self) -> None:
+        """Other requests in flight on the crashing engines get complete answers at each daemon."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=3, daemons=2)
             requests: list[tuple[Core, GenerateRequest]] = [
-                (cores[index % 2], ask(cores[index % 2], f"i{index}", f"job {index}"))
+                (cores[index % 2], make_request(cores[index % 2], f"i{index}", f"job {index}"))
                 for index in range(24)
             ]
-            tasks = [asyncio.ensure_future(run(core, request)) for core, request in requests]
+            tasks = [
+                asyncio.ensure_future(collect_events(core, request)) for core, request in requests
+            ]
             await asyncio.sleep(0.15)
-            assert isinstance(await run(cores[0], ask(cores[0], "p", POISON)), RequestConvicted)
+            assert isinstance(
+                await collect_events(cores[0], make_request(cores[0], "p", CRASHING_PROMPT)),
+                RequestConvicted,
+            )
             answers = await asyncio.gather(*tasks)
             assert crashes(world) == 2
-            whole = [
-                is_whole(answer, pair[1]) for answer, pair in zip(answers, requests, strict=True)
+            complete = [
+                is_complete(answer, pair[1]) for answer, pair in zip(answers, requests, strict=True)
             ]
-            assert all(whole)
+            assert all(complete)
 
         scenario(work)
 
-    def test_cut_stream_raises_no_suspicion(self) -> None:
-        """An engine that drops a stream but lives on makes nobody a suspect."""
+    def test_truncated_stream_raises_no_suspicion(self) -> None:
+        """A truncated stream from an engine that keeps running makes no request a suspect."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=2)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = True
-            task = asyncio.ensure_future(run(core, ask(core)))
+            task = asyncio.ensure_future(collect_events(core, make_request(core)))
             await asyncio.sleep(0.6)
             for engine in world.engines.values():
                 engine.faults.drop_end_mark = False
@@ -87,28 +93,31 @@
 
         scenario(work)
 
-    def test_engine_that_dies_by_itself_convicts_nobody(self) -> None:
-        """After a crash that no request caused, everybody in flight is answered and cleared."""
+    def test_unrelated_engine_crash_convicts_no_request(self) -> None:
+        """After a crash that no request caused, all requests in flight are answered and cleared."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=3)
-            requests = [ask(core, f"i{index}", f"job {index}") for index in range(12)]
-            tasks = [asyncio.ensure_future(run(core, request)) for request in requests]
+            requests = [make_request(core, f"i{index}", f"job {index}") for index in range(12)]
+            tasks = [asyncio.ensure_future(collect_events(core, request)) for request in requests]
             await asyncio.sleep(0.15)
             world.engines["engine-1"].crash()
             answers = await asyncio.gather(*tasks)
-            assert all(map(is_whole, answers, requests))
+            assert all(map(is_complete, answers, requests))
             assert not core.peers.items("convicted")
-            assert is_whole(await run(core, ask(core, "i99", "job 1")), ask(core, "i99", "job 1"))
+            assert is_complete(
+                await collect_events(core, make_request(core, "i99", "job 1")),
+                make_request(core, "i99", "job 1"),
+            )
 
         scenario(work)
 
     def test_convicted_innocent_is_answered_after_a_short_term(self) -> None:
-        """Engines that die by themselves twice delay an innocent request by seconds only."""
+        """Two unrelated engine crashes delay an innocent request by 20 seconds at most."""
 
         async def work(world: World) -> None:
             (core,) = await start(world, engines=4)
-            task = asyncio.ensure_future(run(core, ask(core, "i", "job")))
+            task = asyncio.ensure_future(collect_events(core, make_request(core, "i", "job")))
             for crash in range(2):
                 await crash_busy_engine(world)
                 assert crashes(world) == crash + 1
@@ -116,18 +125,18 @@
             assert isinstance(refusal, RequestConvicted)
             assert refusal.retry_after_s is not None and refusal.retry_after_s <= 20.0
             await asyncio.sleep(refusal.retry_after_s)
-            again = ask(core, "i2", "job")
-            assert is_whole(await run(core, again), again)
-            assert is_whole(await run(core, again), again)
+            again = make_request(core, "i2", "job")
+            assert is_complete(await collect_events(core, again), again)
+            assert is_complete(await collect_events(core, again), again)
 
         scenario(work)
 
-    def test_poison_is_refused_for_long_once_it_has_crashed_another_engine(self) -> None:
-        """After its first term, poison takes one more engine and is refused for minutes."""
+    def test_repeated_conviction_has_a_long_term(self) -> None:
+        """After its first term a crashing request crashes one more engine and is refused longer."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=6, daemons=3)
-            first = await run(cores[0], ask(cores[0], "p", POISON))
+            first = await collect_events(cores[0], make_request(cores[0], "p", CRASHING_PROMPT))
             assert isinstance(first, RequestConvicted) and first.retry_after_s is not None
             await asyncio.sleep(first.retry_after_s)
             answers = await send_in_turn(cores, "q") + await send_in_turn(cores, "r")
@@ -138,13 +147,15 @@
 
         scenario(work)
 
-    def test_cut_off_zone_raises_no_suspicion(self) -> None:
-        """Streams from a zone that is cut off continue elsewhere without trials."""
+    def test_network_partition_raises_no_suspicion(self) -> None:
+        """Streams from a partitioned zone continue on other engines without trials."""
 
         async def work(world: World) -> None:
             cores = await start(world, engines=4, daemons=2)
-            requests = [ask(cores[0], f"i{index}", f"job {index}") for index in range(20)]
-            tasks = [asyncio.ensure_future(run(cores[0], request)) for request in requests]
+            requests = [make_request(cores[0], f"i{index}", f"job {index}") for index in range(20)]
+            tasks = [
+                asyncio.ensure_future(collect_events(cores[0], request)) for request in requests
+            ]
             await asyncio.sleep(0.15)
             world.network.cut("bangkok-a", "hat-yai-a")
             await asyncio.gather(*tasks)
