--- a/src/verbenawind/batches/item_run.py
+++ b/src/verbenawind/batches/item_run.py
@@ -217,9 +217,9 @@
                 return RunOutcome(end=RunEnd.BROKEN, detail="a stream without events")
             return RunOutcome(end=RunEnd.WHOLE)
         silence_s = limits.stall_s
-        pace.note(clock.monotonic_s(), len(events))
-        if pace.usual_s is not None:
-            paces.learn(backend.instance.instance_id, pace.usual_s)
+        pace.add_events(clock.monotonic_s(), len(events))
+        if pace.median_s is not None:
+            paces.learn(backend.instance.instance_id, pace.median_s)
         for event in events:
             version = version if event.version is None else event.version
             if version is None:
--- a/src/verbenawind/batches/ordering.py
+++ b/src/verbenawind/batches/ordering.py
@@ -1,9 +1,9 @@
-"""Orders the items of open jobs, and chooses the engine of each; pure.
+"""Orders the items of open jobs and chooses an engine for each, without side effects.
 
-A trainer waits for a number of whole groups. Groups that come again from an earlier step are
-always among them; of the others those that are expected to be short. Among the groups that are
-waited for the longest starts first, since the last group decides the step; what nobody waits for
-comes last.
+A trainer waits for a given number of complete groups. Groups carried over from an earlier step are
+selected first, then those with the shortest expected output. Among the selected groups the longest
+starts first, because the last group to finish determines the duration of the step. Groups that the
+trainer does not wait for run last.
 """
 
 import math
@@ -14,16 +14,19 @@
 
 __all__ = ["EngineChoice", "EngineState", "Rank", "choose_engine", "rank_items"]
 
-# A pace this much worse than the best one's makes an engine a bad place for a long item.
+# An engine whose pace exceeds the best one's by this factor is used only if no faster one is free.
 _SLOW_FACTOR = 1.8
-# What each further run adds to the time of an engine's events, and what one adds that may have to
-# wait behind those of other daemons.
-_SLOWDOWN = 0.03
-_CROWDING = 0.25
+# Relative increase of an engine's time per event for each run on it, and the further increase for
+# each run beyond this daemon's share of the slots, which may queue behind runs of other daemons.
+_LOAD_PENALTY = 0.03
+_SHARED_SLOT_PENALTY = 0.25
 
 
 class Rank(Value, frozen=True, kw_only=True, order=True):
-    """Where an item stands in its job's order; lower starts earlier."""
+    """An item's sort key within its job; lower ranks start first.
+
+    ``awaited`` is 0 for groups that the trainer waits for and 1 for all others.
+    """
 
     awaited: int
     longest_first: float
@@ -32,27 +35,29 @@
 
 
 def rank_items(
-    submission: BatchSubmission, returning_groups: Collection[str]
+    submission: BatchSubmission, carried_over_groups: Collection[str]
 ) -> Mapping[str, Rank]:
     """Return the rank of each item.
 
     Args:
         submission: The job.
-        returning_groups: Groups that an earlier job left unfinished.
+        carried_over_groups: Groups that an earlier job left unfinished.
     """
     groups: dict[str, list[BatchItem]] = {}
     for item in submission.items:
         groups.setdefault(item.group or item.item_id, []).append(item)
-    longest = {
+    expected_tokens = {
         name: max(_expected_tokens(item) for item in items) for name, items in groups.items()
     }
-    order = sorted(groups, key=lambda name: (name not in returning_groups, longest[name]))
+    order = sorted(
+        groups, key=lambda name: (name not in carried_over_groups, expected_tokens[name])
+    )
     desired = submission.desired_groups or len(order)
     awaited = set(order[:desired])
     return {
         item.item_id: Rank(
             awaited=0 if name in awaited else 1,
-            longest_first=-longest[name],
+            longest_first=-expected_tokens[name],
             group=name,
             index=index,
         )
@@ -62,10 +67,10 @@
 
 
 class EngineState(Value, frozen=True, kw_only=True):
-    """An engine as a place for items.
+    """Load and speed of an engine, as input to the choice.
 
-    ``pace_s`` is the time of one event, 0 where none is known; ``version`` is of the job's model.
-    ``share`` is how many of the slots are this daemon's part, where others use the engine as well.
+    ``pace_s`` is the time per event, 0 if unknown. ``version`` is the weight version of the job's
+    model. ``share`` is this daemon's share of the slots where other daemons use the engine too.
     """
 
     instance_id: str
@@ -78,7 +83,11 @@
 
 
 class EngineChoice(Value, frozen=True, kw_only=True):
-    """A chosen engine and why; ``probing`` asks it whether it has the newest version by now."""
+    """The chosen engine and the reason.
+
+    ``probing`` is set if the engine is not known to have the required weight version and the run
+    tests whether it has loaded it.
+    """
 
     instance_id: str
     reason: str
@@ -92,45 +101,46 @@
     excluded: Collection[str] = (),
     probes: Collection[str] = (),
 ) -> EngineChoice | None:
-    """Return the engine that should finish an item first, or None to wait.
+    """Return the engine expected to finish an item first, or None if the item has to wait.
 
     Args:
-        engines: Every engine of the model.
-        min_version: The oldest weights that the item accepts.
-        excluded: Engines that have just failed the item.
-        probes: Engines with older weights that may be asked now.
+        engines: All engines that serve the model.
+        min_version: The oldest weight version that the item accepts.
+        excluded: Engines on which the item has just failed.
+        probes: Engines with older weights that may be probed now.
     """
-    places = [
+    available = [
         engine
         for engine in engines
         if engine.outstanding < engine.slots and engine.instance_id not in excluded
     ]
-    fit = [engine for engine in places if engine.version >= min_version]
-    sound = [engine for engine in fit if not engine.suspected] or fit
-    if not sound:
-        behind = [engine for engine in places if engine.instance_id in probes]
-        if not behind:
+    eligible = [engine for engine in available if engine.version >= min_version]
+    healthy = [engine for engine in eligible if not engine.suspected] or eligible
+    if not healthy:
+        candidates = [engine for engine in available if engine.instance_id in probes]
+        if not candidates:
             return None
-        best = min(behind, key=_load)
+        best = min(candidates, key=_load)
         return EngineChoice(
             instance_id=best.instance_id, reason="it may have newer weights by now", probing=True
         )
-    paces = [engine.pace_s for engine in sound if engine.pace_s > 0]
+    paces = [engine.pace_s for engine in healthy if engine.pace_s > 0]
     limit_s = _SLOW_FACTOR * min(paces) if paces else 0.0
-    usual = [engine for engine in sound if engine.pace_s <= limit_s] if paces else sound
+    usual = [engine for engine in healthy if engine.pace_s <= limit_s] if paces else healthy
     best_pace_s = min(paces, default=1.0)
-    best = min(usual or sound, key=lambda engine: _expected(engine, best_pace_s))
-    reason = "soonest" if len(usual) == len(sound) else "soonest of the usual pace"
+    best = min(usual or healthy, key=lambda engine: _expected_cost(engine, best_pace_s))
+    reason = "soonest" if len(usual) == len(healthy) else "soonest of the usual pace"
     return EngineChoice(instance_id=best.instance_id, reason=reason)
 
 
-def _expected(engine: EngineState, best_pace_s: float) -> tuple[float, float, str]:
-    """Rate an engine by its pace as its load will make it; an unknown pace counts as the best.
+def _expected_cost(engine: EngineState, best_pace_s: float) -> tuple[float, float, str]:
+    """Return the sort key of an engine, led by its expected time per event under load.
 
-    The items that start first are the long ones, so that these get the fast engines.
+    An unknown pace is taken as the best one. Long items start first and therefore get the fast
+    engines.
     """
-    beyond = max(0.0, engine.outstanding - engine.share)
-    load = 1.0 + _SLOWDOWN * engine.outstanding + _CROWDING * beyond
+    over_share = max(0.0, engine.outstanding - engine.share)
+    load = 1.0 + _LOAD_PENALTY * engine.outstanding + _SHARED_SLOT_PENALTY * over_share
     return ((engine.pace_s or best_pace_s) * load, *_load(engine)[:1], engine.instance_id)
 
 
--- a/src/verbenawind/batches/owned_job.py
+++ b/src/verbenawind/batches/owned_job.py
@@ -82,9 +82,9 @@
         tail: Tail | None = None,
         held: dict[str, HeldText] | None = None,
         kept: dict[str, HeldText] | None = None,
-        returning_groups: Collection[str] = (),
+        carried_over_groups: Collection[str] = (),
     ) -> None:
-        ranks = rank_items(submission, returning_groups)
+        ranks = rank_items(submission, carried_over_groups)
         done = set(listed)
         texts = (held or {}) | (kept or {})
         self.stored = stored
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -179,7 +179,7 @@
             tail=loaded.tail,
             held=self._leftovers.take_texts(items, record.min_version),
             kept=loaded.kept,
-            returning_groups=self._leftovers.unfinished({item.group for item in items}),
+            carried_over_groups=self._leftovers.unfinished({item.group for item in items}),
         )
         self.jobs[job_id] = job
         self._log.info(
--- a/tests/batches/test_engine_view.py
+++ b/tests/batches/test_engine_view.py
@@ -91,7 +91,7 @@
         pace = RunPace()
         for _ in range(8):
             await asyncio.sleep(pace_s)
-            pace.note(self.clock.monotonic_s(), 1)
+            pace.add_events(self.clock.monotonic_s(), 1)
         return pace
 
 
--- a/tests/batches/test_ordering.py
+++ b/tests/batches/test_ordering.py
@@ -1,7 +1,7 @@
-"""Tests of the order of items and of the engines that they go to.
+"""Tests of the order of items and of the choice of engines.
 
-The loads are simulated: engines run a number of items at once, each event takes an engine's own
-time, and a step is over when the groups that its trainer waits for are whole.
+Load is simulated: an engine runs a fixed number of items at once, each event takes the engine's
+pace, and a step ends when the groups that its trainer waits for are complete.
 """
 
 import heapq
@@ -17,24 +17,24 @@
 
 
 def by_rank(submission: BatchSubmission) -> Sequence[str]:
-    """Order items as the product does."""
+    """Order items as the service does."""
     ranks = rank_items(submission, ())
     return sorted(ranks, key=lambda item_id: (ranks[item_id].awaited, ranks[item_id]))
 
 
 def first_come(submission: BatchSubmission) -> Sequence[str]:
-    """Order items as they were submitted."""
+    """Keep the order of submission."""
     return [item.item_id for item in submission.items]
 
 
 def soonest(engines: Sequence[EngineState]) -> str | None:
-    """Choose as the product does."""
+    """Choose an engine as the service does."""
     choice = choose_engine(engines, min_version=0)
     return choice.instance_id if choice else None
 
 
 def round_robin() -> Choose:
-    """Choose engines with room in turn."""
+    """Choose engines with a free slot in turn."""
     turn = 0
 
     def choose(engines: Sequence[EngineState]) -> str | None:
@@ -46,10 +46,10 @@
     return choose
 
 
-def play(
+def simulate(
     submission: BatchSubmission, order: Order, choose: Choose, paces_s: Sequence[float], slots: int
 ) -> float:
-    """Return when as many groups as the trainer waits for are whole, in seconds."""
+    """Return the simulated time in seconds until the desired number of groups is complete."""
     items = {item.item_id: item for item in submission.items}
     left = {item.group: 0 for item in submission.items}
     for item in submission.items:
@@ -87,7 +87,7 @@
 
 
 def steps(count: int, *, groups: int, size: int, desired: int) -> Sequence[BatchSubmission]:
-    """Return steps of short groups and some five times as long, with rough hints."""
+    """Return steps of short groups, some of them five times as long, with inexact length hints."""
     rng = Random(7)
     made = []
     for number in range(count):
@@ -110,7 +110,7 @@
 
 class TestRank:
     def test_awaited_groups_come_first_and_the_longest_of_them_first(self) -> None:
-        """Returning groups, then the shortest up to the wanted number; long before short."""
+        """Carried-over and the shortest other groups are awaited, the longest of them first."""
         submission = job(groups=5, size=2, events=(10, 50, 20, 90, 30), desired_groups=3)
         ranks = rank_items(submission, {"job-1-g3"})
         order = sorted(ranks, key=lambda item_id: (ranks[item_id].awaited, ranks[item_id]))
@@ -118,36 +118,36 @@
         assert groups == [f"job-1-g{index}" for index in (3, 2, 0, 1, 4)]
 
     def test_items_of_a_group_stay_together(self) -> None:
-        """A group's items follow each other, so that it is whole early."""
+        """The items of a group are consecutive, so that the group completes early."""
         order = by_rank(job(groups=4, size=3, events=10))
         assert [item_id.rsplit("-", 1)[0] for item_id in order[:3]] == ["job-1-g0"] * 3
 
 
 class TestLoads:
     def test_step_of_long_tails_on_a_full_pool(self) -> None:
-        """Pattern: more items than slots, a few very long. Against first come, first served."""
+        """With more items than slots and a few very long ones, ranking beats submission order."""
         made = steps(30, groups=24, size=8, desired=21)
-        plain = sum(play(step, first_come, soonest, [0.04] * 5, 16) for step in made)
-        ranked = sum(play(step, by_rank, soonest, [0.04] * 5, 16) for step in made)
+        plain = sum(simulate(step, first_come, soonest, [0.04] * 5, 16) for step in made)
+        ranked = sum(simulate(step, by_rank, soonest, [0.04] * 5, 16) for step in made)
         assert ranked < plain
 
     def test_pool_with_slower_engines(self) -> None:
-        """Pattern: every third engine is a third slower. Long items get the fast ones."""
+        """If every third engine is a third slower, choosing by pace beats round robin."""
         made = steps(30, groups=7, size=8, desired=7)
         paces_s = [0.045, 0.045, 0.06] * 4
-        turns = sum(play(step, by_rank, round_robin(), paces_s, 8) for step in made)
-        chosen = sum(play(step, by_rank, soonest, paces_s, 8) for step in made)
-        assert chosen < turns
+        in_turn = sum(simulate(step, by_rank, round_robin(), paces_s, 8) for step in made)
+        chosen = sum(simulate(step, by_rank, soonest, paces_s, 8) for step in made)
+        assert chosen < in_turn
 
     def test_pool_with_an_engine_that_turned_slow(self) -> None:
-        """Pattern: one engine is four times slower. It gets nothing while others have room."""
+        """An engine that is four times slower gets no items while others have free slots."""
         made = steps(20, groups=4, size=8, desired=4)
-        slow = sum(play(step, by_rank, soonest, [0.04, 0.04, 0.16], 16) for step in made)
-        calm = sum(play(step, by_rank, soonest, [0.04, 0.04], 16) for step in made)
-        assert slow <= 1.05 * calm
+        slow = sum(simulate(step, by_rank, soonest, [0.04, 0.04, 0.16], 16) for step in made)
+        without_slow = sum(simulate(step, by_rank, soonest, [0.04, 0.04], 16) for step in made)
+        assert slow <= 1.05 * without_slow
 
     def test_engines_that_others_use_are_not_crowded(self) -> None:
-        """Pattern: two trainers on one pool. Each keeps to its part of the fast engines' slots."""
+        """Of two trainers on one pool, each mostly stays within its share of the fast engines."""
         outstanding = {"fast": 0, "slow": 0}
         for _ in range(8):
             name = soonest(
@@ -170,7 +170,7 @@
 
 class TestChoice:
     def test_engine_without_the_weights_is_asked_only_when_no_other_has_room(self) -> None:
-        """An engine with older weights is probed when those with newer ones are full."""
+        """An engine with older weights is probed only if all engines with newer ones are full."""
 
         def state(name: str, outstanding: int, version: int) -> EngineState:
             return EngineState(
--- a/tests/batches/test_paces.py
+++ b/tests/batches/test_paces.py
@@ -1,4 +1,4 @@
-"""Tests of what an engine's pace is read from, and of when a run moves."""
+"""Tests of the estimation of engine paces and of the decision to move a run."""
 
 from datetime import UTC, datetime
 
@@ -8,7 +8,7 @@
 
 
 class SetClock:
-    """A clock that stands where it is set."""
+    """A clock that advances only when it is set or slept on."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -24,32 +24,32 @@
 
 
 def run_of(gaps_s: list[float]) -> RunPace:
-    """Return the pace of a run whose events came with these gaps."""
+    """Return the pace of a run whose events arrived at these intervals."""
     pace, now_s = RunPace(), 0.0
-    pace.note(now_s, 1)
+    pace.add_events(now_s, 1)
     for gap_s in gaps_s:
         now_s += gap_s
-        pace.note(now_s, 1)
+        pace.add_events(now_s, 1)
     return pace
 
 
 class TestRunPace:
-    def test_one_long_gap_says_nothing(self) -> None:
-        """The second in which an engine changes its weights does not make its runs slow."""
-        assert run_of([0.04, 0.04, 0.9, 0.04, 0.04]).usual_s == pytest.approx(0.04)
+    def test_one_long_gap_is_ignored(self) -> None:
+        """A pause of about a second for a weight swap does not count as a slow pace."""
+        assert run_of([0.04, 0.04, 0.9, 0.04, 0.04]).median_s == pytest.approx(0.04)
 
     def test_steady_long_gaps_are_the_pace(self) -> None:
-        """An engine that has turned slow is seen after a few events."""
-        assert run_of([0.04, 0.04, 0.15, 0.15, 0.15]).usual_s == pytest.approx(0.15)
+        """A slowdown of an engine is detected after a few events."""
+        assert run_of([0.04, 0.04, 0.15, 0.15, 0.15]).median_s == pytest.approx(0.15)
 
-    def test_few_events_say_nothing(self) -> None:
-        """The first events, among which prompts are read, are no measure."""
-        assert run_of([0.3, 0.2]).usual_s is None
+    def test_too_few_events_give_no_pace(self) -> None:
+        """The first events are not representative, because they include prompt processing."""
+        assert run_of([0.3, 0.2]).median_s is None
 
 
 class TestMoves:
     def test_run_moves_to_an_engine_that_is_much_faster(self) -> None:
-        """A run moves from a slow engine, and not for a small difference."""
+        """A run leaves a slow engine, but does not move for a small difference."""
         paces = EnginePaces(SetClock())
         paces.learn("fast", 0.04)
         assert paces.faster(run_of([0.15] * 5), ["fast"], 6)
@@ -57,14 +57,14 @@
         assert not paces.faster(run_of([0.15] * 5), [], 6)
 
     def test_long_run_moves_for_a_smaller_gain(self) -> None:
-        """A run with many events behind it has as many before it, so that a third is enough."""
+        """A run with many events is likely to produce many more, so a gain of a third suffices."""
         paces = EnginePaces(SetClock())
         paces.learn("fast", 0.045)
         assert paces.faster(run_of([0.06] * 5), ["fast"], 30)
         assert not paces.faster(run_of([0.05] * 5), ["fast"], 30)
 
-    def test_slow_engine_is_tried_again_with_few_runs(self) -> None:
-        """Once its measurement is old, a slow engine gets two runs, and all when they do well."""
+    def test_slow_engine_is_retried_with_few_runs(self) -> None:
+        """A slow engine gets two runs once its sample is stale, and all slots if they are fast."""
         clock = SetClock()
         paces = EnginePaces(clock)
         paces.learn("fast", 0.04)
