--- a/src/verbenawind/batches/engine_view.py
+++ b/src/verbenawind/batches/engine_selection.py
@@ -1,4 +1,4 @@
-"""What the runner believes of engines as places for items."""
+"""Selects engines for items and decides when a run moves to a faster engine."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -9,24 +9,25 @@
 from verbenawind.clock import Clock
 from verbenawind.gateway import Backend, Directory
 
-__all__ = ["EngineView"]
+__all__ = ["EngineSelector"]
 
-# An engine that refuses usually changes its weights. It gets one item so often until it accepts.
-_REFUSED_S = 0.08
-# For so long after a refusal, which is about the time of a load, no run moves to the engine.
-_LOADING_S = 1.0
-# An engine that may have newer weights by now is asked this often.
-_PROBE_S = 0.12
+# An engine that refuses an item is usually swapping its weights. Until it accepts again, it is
+# sent one item per this interval.
+_REFUSAL_BACKOFF_S = 0.08
+# No run moves to an engine for this long after a refusal, about the duration of a weight load.
+_WEIGHT_LOAD_S = 1.0
+# Interval between probes of an engine that may have loaded newer weights.
+_PROBE_PERIOD_S = 0.12
 
 
-class EngineView:
-    """Chooses engines for items from their loads, paces, weights and latest refusals.
+class EngineSelector:
+    """Selects engines by load, pace, weight version and recent refusals.
 
     Args:
-        directory: The engines.
-        newest_version: The newest named version of a model.
-        current_engines: The engines of a service that are kept current for a model.
-        loads_soon: Whether an engine is about to load newer weights of a model.
+        directory: Known engines.
+        newest_version: Returns the newest published version of a model.
+        current_engines: Returns the engines of a service that load every new version of a model.
+        loads_soon: Returns whether an engine is about to load newer weights of a model.
         clock: Time source.
     """
 
@@ -65,29 +66,29 @@
     ) -> Mapping[str, Backend]:
         """Return the engines that may run an item, by id.
 
-        On a route whose results may not mix versions, held text that no engine can go on with is
-        dropped.
+        On a route whose results may not mix weight versions, partial output is discarded if no
+        engine has a version that could continue it.
         """
         engines = {
             engine.instance.instance_id: engine
             for engine in self._directory.backends(service)
             if not model or model in engine.versions
         }
-        if not single_version or not work.held.versions:
+        if not single_version or not work.partial.versions:
             return engines
-        fit = {
+        compatible = {
             name: engine
             for name, engine in engines.items()
-            if engine.versions.get(model) in work.held.versions
+            if engine.versions.get(model) in work.partial.versions
         }
-        if not fit:
-            work.held.clear()
-        return fit or engines
+        if not compatible:
+            work.partial.clear()
+        return compatible or engines
 
     def choose(
         self, engines: Mapping[str, Backend], service: str, record: JobRecord, work: ItemWork
     ) -> EngineChoice | None:
-        """Return the engine that should run an item, None where none has room."""
+        """Return the engine that should run an item, or None if none has a free slot."""
         now_s = self._clock.monotonic_s()
         model = record.model
         current = self._current_engines(model, service) if model else frozenset()
@@ -99,7 +100,8 @@
                 pace_s=self.paces.pace_s(name),
                 version=engine.versions.get(model, 0) if model else 0,
                 suspected=engine.suspected,
-                share=engine.instance.slots / _sharers(engine, len(current), len(engines)),
+                share=engine.instance.slots
+                / _models_per_engine(engine, len(current), len(engines)),
             )
             for name, engine in engines.items()
             if self._refused_until_s.get(name, 0.0) <= now_s
@@ -109,7 +111,7 @@
             for state in states
             if state.instance_id in current
             and self._newest_version(model) >= record.min_version
-            and now_s - self._probed_at_s.get((state.instance_id, model), 0.0) > _PROBE_S
+            and now_s - self._probed_at_s.get((state.instance_id, model), 0.0) > _PROBE_PERIOD_S
         ]
         choice = choose_engine(
             states,
@@ -119,47 +121,52 @@
         )
         if choice is not None and choice.probing:
             self._probed_at_s[choice.instance_id, model] = now_s
-        if choice is not None and self._refused_lately(choice.instance_id):
-            self._refused_until_s[choice.instance_id] = now_s + _REFUSED_S
+        if choice is not None and self._recently_refused(choice.instance_id):
+            self._refused_until_s[choice.instance_id] = now_s + _REFUSAL_BACKOFF_S
         return choice
 
     def should_move(
         self, pace: RunPace, others: Sequence[str], record: JobRecord, events: int
     ) -> bool:
-        """Return whether an engine with room for a run is so much faster that a move pays."""
-        faster = self.paces.faster(pace, others, events)
-        return any(self._has_room(name, record) for name in faster)
+        """Return whether an engine with a free slot is faster by enough to justify a move."""
+        candidates = self.paces.faster(pace, others, events)
+        return any(self._has_room(name, record) for name in candidates)
 
-    def refused(self, instance_id: str, *, probing: bool) -> None:
-        """Record that an engine refused an item; a probe that is refused says nothing new."""
+    def record_refusal(self, instance_id: str, *, probing: bool) -> None:
+        """Record that an engine refused an item.
+
+        A refused probe is not recorded: the engine was not expected to have the weights.
+        """
         if not probing:
             now_s = self._clock.monotonic_s()
             self._refused_at_s[instance_id] = now_s
-            self._refused_until_s[instance_id] = now_s + _REFUSED_S
+            self._refused_until_s[instance_id] = now_s + _REFUSAL_BACKOFF_S
 
-    def accepted(self, instance_id: str) -> bool:
-        """Record that an engine runs an item, and return whether it had refused before."""
+    def record_acceptance(self, instance_id: str) -> bool:
+        """Record that an engine accepted an item, and return whether it had refused one before."""
         self._refused_until_s.pop(instance_id, None)
         return self._refused_at_s.pop(instance_id, None) is not None
 
-    def _refused_lately(self, instance_id: str) -> bool:
+    def _recently_refused(self, instance_id: str) -> bool:
         refused_at_s = self._refused_at_s.get(instance_id)
-        return refused_at_s is not None and self._clock.monotonic_s() - refused_at_s < _LOADING_S
+        return (
+            refused_at_s is not None and self._clock.monotonic_s() - refused_at_s < _WEIGHT_LOAD_S
+        )
 
     def _has_room(self, name: str, record: JobRecord) -> bool:
         engine = self._directory.get(name)
         if engine is None or engine.suspected or engine.instance.draining:
             return False
-        if self._refused_lately(name):
+        if self._recently_refused(name):
             return False
         if engine.outstanding >= engine.instance.slots:
             return False
         if not record.model:
             return True
-        fits = engine.versions.get(record.model, 0) >= record.min_version
-        return fits and not self._loads_soon(record.model, name)
+        has_weights = engine.versions.get(record.model, 0) >= record.min_version
+        return has_weights and not self._loads_soon(record.model, name)
 
 
-def _sharers(engine: Backend, current: int, engines: int) -> float:
-    """Return how many models' jobs use an engine, on average over the pool."""
+def _models_per_engine(engine: Backend, current: int, engines: int) -> float:
+    """Return the number of models whose jobs share an engine, averaged over the pool."""
     return max(1.0, len(engine.versions) * current / max(1, engines))
--- a/src/verbenawind/batches/item_run.py
+++ b/src/verbenawind/batches/item_run.py
@@ -1,4 +1,4 @@
-"""Runs one item at one engine, from the events that are already held."""
+"""Runs one item on one engine, resuming after the events that have already arrived."""
 
 import asyncio
 from collections import Counter
@@ -12,7 +12,7 @@
 from verbenawind.gateway import Answer, Attempt, Backend, BackendPort, CallerRequest
 from verbenawind.kernel.messages import Value
 
-__all__ = ["HeldText", "RunEnd", "RunLimits", "RunOutcome", "RunnerCounts", "run_item"]
+__all__ = ["PartialText", "RunEnd", "RunLimits", "RunOutcome", "RunnerCounts", "run_item"]
 
 _OK = 200
 _SERVER_ERROR = 500
@@ -21,9 +21,9 @@
 
 
 class RunEnd(StrEnum):
-    """How a run at one engine ended."""
+    """How a run on one engine ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
@@ -35,7 +35,7 @@
 
 
 class RunnerCounts:
-    """Counts runs by how they ended, for the metrics."""
+    """Counts runs by their end, for the metrics."""
 
     __slots__ = ("runs",)
 
@@ -44,14 +44,15 @@
 
     @property
     def moved(self) -> int:
-        """Runs that left their engine for a faster one."""
+        """Number of runs that left their engine for a faster one."""
         return self.runs[RunEnd.SLOW]
 
 
 class RunOutcome(Value, frozen=True, kw_only=True):
-    """A run's end and what it was read from.
+    """A run's end, with details for the log.
 
-    ``other_version`` is set where the engine refused a run that expects a weight version.
+    ``other_version`` is set if the engine refused a run because it does not have the weight
+    version that the run expects.
     """
 
     end: RunEnd
@@ -60,10 +61,10 @@
 
 
 class RunLimits(Value, frozen=True, kw_only=True):
-    """What bounds one run.
+    """Limits of one run.
 
-    ``first_event_s`` and ``stall_s`` are how long an engine may stay silent before and after its
-    first event.
+    ``first_event_s`` and ``stall_s`` are the longest times without data from the engine, before
+    and after its first event.
     """
 
     remaining_s: float
@@ -74,8 +75,8 @@
     expect_version: int | None = None
 
 
-class HeldText:
-    """The events of an item that have arrived, with the weights that made them."""
+class PartialText:
+    """Events of an unfinished item, with the weight versions that generated them."""
 
     __slots__ = ("events", "last_event", "last_version", "versions")
 
@@ -87,23 +88,23 @@
 
     @property
     def text(self) -> str:
-        """The data of all events, one a line."""
+        """The data of all events, one per line."""
         return "\n".join(self.events)
 
     def extend(self, events: Sequence[str], last_event: int, last_version: int) -> None:
-        """Append events that were kept by an earlier owner."""
+        """Append events that an earlier owner of the job saved."""
         self.events.extend(events)
         self.last_event = last_event
         self.last_version = last_version
 
-    def fits(self, min_version: int, single_version: bool) -> bool:
-        """Return whether the events may be part of a result under these bounds."""
+    def satisfies(self, min_version: int, single_version: bool) -> bool:
+        """Return whether a result under these constraints may contain the events."""
         if single_version and len(self.versions) > 1:
             return False
         return all(version >= min_version for version in self.versions)
 
     def clear(self) -> None:
-        """Drop everything that is held."""
+        """Discard all events."""
         self.events.clear()
         self.versions.clear()
         self.last_event = self.last_version = None
@@ -112,7 +113,7 @@
 async def run_item(
     item: BatchItem,
     host: str,
-    held: HeldText,
+    partial: PartialText,
     backend: Backend,
     limits: RunLimits,
     *,
@@ -120,21 +121,22 @@
     clock: Clock,
     paces: EnginePaces,
     should_move: Callable[[RunPace], bool],
-    on_begun: Callable[[], None],
+    on_accepted: Callable[[], None],
 ) -> RunOutcome:
-    """Run an item until it is whole, or until it should go on at another engine.
+    """Run an item until it is complete or has to continue on another engine.
 
     Args:
         item: The item.
         host: The host of the job's route.
-        held: The events so far; new ones are appended.
+        partial: The events so far; new ones are appended.
         backend: The engine.
-        limits: Bounds of this run.
-        port: Sends to the engine.
+        limits: Limits of this run.
+        port: Sends requests to the engine.
         clock: Time source.
-        paces: Learns the engine's time for an event.
-        should_move: Whether another engine would finish the item sooner; asked after events.
-        on_begun: Called when the engine has accepted the item.
+        paces: Records the engine's time per event.
+        should_move: Returns whether another engine would finish the item sooner; called each time
+            events have arrived.
+        on_accepted: Called when the engine has accepted the item.
     """
     now_s = clock.monotonic_s()
     request = CallerRequest(
@@ -150,20 +152,20 @@
     attempt = Attempt(
         request=request,
         remaining_s=limits.remaining_s,
-        resume_after=held.last_event,
+        resume_after=partial.last_event,
         expect_version=limits.expect_version,
     )
     answer: Answer | None = None
     try:
         async with asyncio.timeout(limits.first_event_s):
             answer = await port.send(backend.instance, attempt)
-        outcome = await _refusal(answer, limits)
+        outcome = await _check_response(answer, limits)
         if outcome is not None:
             return outcome
-        on_begun()
-        return await _read(answer, held, backend, limits, clock, paces, should_move)
+        on_accepted()
+        return await _read_events(answer, partial, backend, limits, clock, paces, should_move)
     except TimeoutError:
-        return RunOutcome(end=RunEnd.STALLED, detail=f"silent for {limits.first_event_s} s")
+        return RunOutcome(end=RunEnd.STALLED, detail=f"no response within {limits.first_event_s} s")
     except BackendServerUnreachable as error:
         return RunOutcome(end=RunEnd.UNREACHABLE, detail=error.message)
     except BackendServerFailed as error:
@@ -173,18 +175,18 @@
             answer.close()
 
 
-async def _refusal(answer: Answer, limits: RunLimits) -> RunOutcome | None:
-    """Return what a response that is no stream of events means, None for a stream."""
+async def _check_response(answer: Answer, limits: RunLimits) -> RunOutcome | None:
+    """Return the outcome of a response other than an event stream, None for a stream."""
     detail = f"status {answer.status}"
     if answer.refused:
-        # The rest is read so that the connection can be used again.
+        # Read the body to the end so that the connection can be reused.
         while await answer.chunk():
             pass
-        misdirected = answer.status == _MISDIRECTED
-        other_version = misdirected and limits.expect_version is not None
+        is_misdirected = answer.status == _MISDIRECTED
+        other_version = is_misdirected and limits.expect_version is not None
         return RunOutcome(end=RunEnd.REFUSED, detail=detail, other_version=other_version)
     if not answer.signed:
-        return RunOutcome(end=RunEnd.BROKEN, detail=f"{detail} without the server's mark")
+        return RunOutcome(end=RunEnd.BROKEN, detail=f"{detail}, response not signed by the server")
     if answer.status == _UNPROCESSABLE:
         return RunOutcome(end=RunEnd.IMPOSSIBLE, detail=detail)
     if answer.status >= _SERVER_ERROR:
@@ -194,9 +196,9 @@
     return None
 
 
-async def _read(
+async def _read_events(
     answer: Answer,
-    held: HeldText,
+    partial: PartialText,
     backend: Backend,
     limits: RunLimits,
     clock: Clock,
@@ -204,38 +206,40 @@
     should_move: Callable[[RunPace], bool],
 ) -> RunOutcome:
     version = answer.version
-    silence_s = limits.first_event_s
+    max_silence_s = limits.first_event_s
     pace = RunPace()
     while True:
         try:
-            async with asyncio.timeout(silence_s):
+            async with asyncio.timeout(max_silence_s):
                 events = await answer.events()
         except TimeoutError:
-            return RunOutcome(end=RunEnd.STALLED, detail=f"silent for {silence_s:.2f} s")
+            return RunOutcome(end=RunEnd.STALLED, detail=f"no event within {max_silence_s:.2f} s")
         if events is None:
-            if held.last_event is None:
-                return RunOutcome(end=RunEnd.BROKEN, detail="a stream without events")
-            return RunOutcome(end=RunEnd.WHOLE)
-        silence_s = limits.stall_s
+            if partial.last_event is None:
+                return RunOutcome(end=RunEnd.BROKEN, detail="stream ended without events")
+            return RunOutcome(end=RunEnd.COMPLETE)
+        max_silence_s = limits.stall_s
         pace.add_events(clock.monotonic_s(), len(events))
         if pace.median_s is not None:
             paces.learn(backend.instance.instance_id, pace.median_s)
         for event in events:
             version = version if event.version is None else event.version
             if version is None:
-                return RunOutcome(end=RunEnd.BROKEN, detail="events without a weight version")
-            other = limits.single_version and bool(held.versions - {version})
-            if version < limits.min_version or other:
-                held.clear()
-                return RunOutcome(end=RunEnd.TOO_OLD, detail=f"weight version {version}")
-            if held.last_event is not None and event.event_id != held.last_event + 1:
+                return RunOutcome(end=RunEnd.BROKEN, detail="event without a weight version")
+            mixed_versions = limits.single_version and bool(partial.versions - {version})
+            if version < limits.min_version or mixed_versions:
+                partial.clear()
+                return RunOutcome(
+                    end=RunEnd.TOO_OLD, detail=f"weight version {version} not allowed"
+                )
+            if partial.last_event is not None and event.event_id != partial.last_event + 1:
                 return RunOutcome(
                     end=RunEnd.BROKEN,
-                    detail=f"event {event.event_id} after {held.last_event}",
+                    detail=f"event {event.event_id} received after {partial.last_event}",
                 )
-            held.events.append(event.data)
-            held.last_event = event.event_id
-            held.versions.add(version)
-            held.last_version = version
+            partial.events.append(event.data)
+            partial.last_event = event.event_id
+            partial.versions.add(version)
+            partial.last_version = version
         if should_move(pace):
             return RunOutcome(end=RunEnd.SLOW, detail="another engine is faster")
--- a/src/verbenawind/batches/keeping.py
+++ b/src/verbenawind/batches/keeping.py
@@ -50,7 +50,7 @@
         texts, pause_s = job.unsure_texts, _PERIOD_S
         if not texts:
             works = [work for work in job.work.values() if _is_worth_keeping(work, min_new_events)]
-            works.sort(key=lambda work: -len(work.held.events))
+            works.sort(key=lambda work: -len(work.partial.events))
             texts = tuple((work, _new_text(work)) for work in works[:_MAX_ROWS])
         try:
             if not texts:
@@ -82,7 +82,7 @@
 
 
 def _is_worth_keeping(work: ItemWork, min_new_events: int) -> bool:
-    count = len(work.held.events)
+    count = len(work.partial.events)
     if work.kept_events is None or count < _MIN_EVENTS:
         return False
     if count < work.kept_events:
@@ -97,8 +97,8 @@
     return KeptText(
         item_id=work.item.item_id,
         first=first,
-        events=tuple(work.held.events[first:]),
-        last_event=work.held.last_event or 0,
-        versions=tuple(sorted(work.held.versions)),
-        last_version=work.held.last_version or 0,
+        events=tuple(work.partial.events[first:]),
+        last_event=work.partial.last_event or 0,
+        versions=tuple(sorted(work.partial.versions)),
+        last_version=work.partial.last_version or 0,
     )
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from verbenawind.batches.item_run import HeldText
+from verbenawind.batches.item_run import PartialText
 from verbenawind.batches.journal import JobJournal, KeptText, StoredJob, Tail
 from verbenawind.batches.types import BatchSubmission
 from verbenawind.clock import Clock
@@ -30,7 +30,7 @@
     submission: BatchSubmission
     tail: Tail
     listed: tuple[str, ...]
-    kept: dict[str, HeldText]
+    kept: dict[str, PartialText]
 
 
 class JobLoader:
@@ -85,16 +85,16 @@
         return listed
 
 
-def _assembled(texts: Iterable[KeptText], min_version: int) -> dict[str, HeldText]:
+def _assembled(texts: Iterable[KeptText], min_version: int) -> dict[str, PartialText]:
     """Return the texts that an earlier owner kept, each up to its first gap, where they fit."""
-    held: dict[str, HeldText] = {}
+    partial: dict[str, PartialText] = {}
     for text in texts:
-        whole = held.setdefault(text.item_id, HeldText())
+        whole = partial.setdefault(text.item_id, PartialText())
         if text.first == len(whole.events):
             whole.extend(text.events, text.last_event, text.last_version)
             whole.versions.update(text.versions)
     return {
         item_id: text
-        for item_id, text in held.items()
-        if text.events and text.fits(min_version, single_version=False)
+        for item_id, text in partial.items()
+        if text.events and text.satisfies(min_version, single_version=False)
     }
--- a/src/verbenawind/batches/outcomes.py
+++ b/src/verbenawind/batches/outcomes.py
@@ -1,50 +1,50 @@
-"""Decides what the end of a run at one engine means for its item and for the engine."""
+"""Applies the outcome of a run on one engine to its item and to the engine's state."""
 
 from collections.abc import Callable
 
 import structlog
 
-from verbenawind.batches.engine_view import EngineView
+from verbenawind.batches.engine_selection import EngineSelector
 from verbenawind.batches.item_run import RunEnd, RunOutcome
-from verbenawind.batches.leftovers import Leftovers
 from verbenawind.batches.ordering import EngineChoice
 from verbenawind.batches.owned_job import ItemWork, OwnedJob
 from verbenawind.batches.types import ItemResult, ResultState
+from verbenawind.batches.unfinished_work import UnfinishedWork
 from verbenawind.clock import Clock
 from verbenawind.gateway import Backend, Route
 
-__all__ = ["ItemOutcomes"]
+__all__ = ["OutcomeHandler"]
 
-# The pause before an item goes on elsewhere when an engine could not be reached.
+# Delay before an item is retried after its engine could not be reached.
 _RETRY_S = 0.05
 
 
-class ItemOutcomes:
-    """Finishes items, gives them up, or marks where they may go on.
+class OutcomeHandler:
+    """Completes or terminates items, or prepares them for their next run.
 
     Args:
-        engines: What is known of engines.
-        newest_version: The newest named version of a model.
-        leftovers: Texts of earlier jobs.
+        engines: Records refusals of engines.
+        newest_version: Returns the newest published version of a model.
+        unfinished_work: Partial texts of earlier jobs.
         clock: Time source.
     """
 
-    __slots__ = ("_clock", "_engines", "_leftovers", "_log", "_newest_version")
+    __slots__ = ("_clock", "_engines", "_log", "_newest_version", "_unfinished_work")
 
     def __init__(
         self,
-        engines: EngineView,
+        engines: EngineSelector,
         newest_version: Callable[[str], int],
-        leftovers: Leftovers,
+        unfinished_work: UnfinishedWork,
         clock: Clock,
     ) -> None:
         self._engines = engines
         self._newest_version = newest_version
-        self._leftovers = leftovers
+        self._unfinished_work = unfinished_work
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
-    def learn(
+    def handle(
         self,
         job: OwnedJob,
         work: ItemWork,
@@ -52,39 +52,39 @@
         backend: Backend,
         choice: EngineChoice,
         outcome: RunOutcome,
-        held_before: int,
+        events_before: int,
     ) -> None:
-        """Finish an item, or decide what its end at one engine means for the next run."""
+        """Complete or terminate an item, or record which engines its next run has to avoid."""
         now_s = self._clock.monotonic_s()
         name = backend.instance.instance_id
         model = job.stored.record.model
-        if len(work.held.events) > held_before and work.held.last_version is not None:
-            backend.learn_version(model, work.held.last_version)
-        excluded_for_pace, work.excluded_for_pace = work.excluded_for_pace, False
+        if len(work.partial.events) > events_before and work.partial.last_version is not None:
+            backend.learn_version(model, work.partial.last_version)
+        excluded_as_slow, work.excluded_as_slow = work.excluded_as_slow, False
         match outcome.end:
-            case RunEnd.WHOLE:
+            case RunEnd.COMPLETE:
                 backend.succeeded(0.0)
                 self._finish(job, work)
             case RunEnd.REFUSED:
                 if outcome.other_version and not choice.probing:
                     newest_named = self._newest_version(model)
                     backend.learn_version(model, max(newest_named, backend.versions.get(model, 0)))
-                self._engines.refused(name, probing=choice.probing)
-                if excluded_for_pace:
-                    # Better to go on where it is slow than to wait.
+                self._engines.record_refusal(name, probing=choice.probing)
+                if excluded_as_slow:
+                    # Running on the slow engine is better than waiting.
                     work.excluded = set()
                 work.not_before_s = now_s
             case RunEnd.SLOW:
                 work.moves += 1
                 work.excluded = {name}
-                work.excluded_for_pace = True
+                work.excluded_as_slow = True
             case RunEnd.IMPOSSIBLE:
-                self.terminate(job, work, "the engine can never run it")
+                self.terminate(job, work, "an engine rejected it as impossible to run")
             case RunEnd.FAILED:
                 work.failures += 1
                 work.excluded = {name}
                 if work.failures >= route.max_attempts:
-                    self.terminate(job, work, f"it failed {work.failures} times")
+                    self.terminate(job, work, f"failed {work.failures} times")
             case RunEnd.TOO_OLD:
                 backend.learn_version(model, 0)
                 work.excluded = {name}
@@ -94,12 +94,12 @@
                 work.not_before_s = now_s + (_RETRY_S if outcome.end is RunEnd.UNREACHABLE else 0)
 
     def _finish(self, job: OwnedJob, work: ItemWork) -> None:
-        self._leftovers.finished(work.item.item_id)
+        self._unfinished_work.discard_text(work.item.item_id)
         result = ItemResult(
             item_id=work.item.item_id,
             state=ResultState.COMPLETED,
-            text=work.held.text,
-            versions=tuple(sorted(work.held.versions)),
+            text=work.partial.text,
+            versions=tuple(sorted(work.partial.versions)),
         )
         job.finish(result, self._clock.monotonic_s())
 
--- a/src/verbenawind/batches/owned_job.py
+++ b/src/verbenawind/batches/owned_job.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import Collection, Sequence
 
-from verbenawind.batches.item_run import HeldText
+from verbenawind.batches.item_run import PartialText
 from verbenawind.batches.journal import KeptText, StoredJob, Tail
 from verbenawind.batches.ordering import Rank, rank_items
 from verbenawind.batches.types import BatchItem, BatchSubmission, ItemResult
@@ -17,29 +17,29 @@
 
     __slots__ = (
         "excluded",
-        "excluded_for_pace",
+        "excluded_as_slow",
         "failures",
-        "held",
         "item",
         "kept_events",
         "moves",
         "not_before_s",
+        "partial",
         "rank",
         "task",
         "was_started",
     )
 
-    def __init__(self, item: BatchItem, rank: Rank, held: HeldText) -> None:
+    def __init__(self, item: BatchItem, rank: Rank, partial: PartialText) -> None:
         self.item = item
         self.rank = rank
-        self.held = held
+        self.partial = partial
         self.failures = 0
         # How many events of the text the store has; None once that is not known.
         self.kept_events: int | None = 0
         self.moves = 0
         self.excluded: set[str] = set()
         # Whether the excluded engine works and is only slow.
-        self.excluded_for_pace = False
+        self.excluded_as_slow = False
         self.not_before_s = 0.0
         self.was_started = False
         self.task: asyncio.Task[None] | None = None
@@ -80,13 +80,13 @@
         *,
         listed: Sequence[str] = (),
         tail: Tail | None = None,
-        held: dict[str, HeldText] | None = None,
-        kept: dict[str, HeldText] | None = None,
+        partial: dict[str, PartialText] | None = None,
+        kept: dict[str, PartialText] | None = None,
         carried_over_groups: Collection[str] = (),
     ) -> None:
         ranks = rank_items(submission, carried_over_groups)
         done = set(listed)
-        texts = (held or {}) | (kept or {})
+        texts = (partial or {}) | (kept or {})
         self.stored = stored
         self.submission = submission
         self.tail = tail or Tail()
@@ -98,14 +98,16 @@
         # Texts that were sent to the store without an answer, with their items.
         self.unsure_texts: tuple[tuple[ItemWork, KeptText], ...] = ()
         self.work = {
-            item.item_id: ItemWork(item, ranks[item.item_id], texts.get(item.item_id, HeldText()))
+            item.item_id: ItemWork(
+                item, ranks[item.item_id], texts.get(item.item_id, PartialText())
+            )
             for item in submission.items
             if item.item_id not in done
         }
         self._group_of = {item.item_id: item.group for item in submission.items}
         self._unlisted = Counter(work.item.group for work in self.work.values())
         for item_id in (kept or {}).keys() & self.work.keys():
-            self.work[item_id].kept_events = len(self.work[item_id].held.events)
+            self.work[item_id].kept_events = len(self.work[item_id].partial.events)
 
     @property
     def job_id(self) -> str:
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -9,17 +9,17 @@
 import structlog
 
 from verbenawind.batches.book import JobBook
-from verbenawind.batches.engine_view import EngineView
+from verbenawind.batches.engine_selection import EngineSelector
 from verbenawind.batches.item_run import RunLimits, RunnerCounts, run_item
 from verbenawind.batches.journal import JobJournal, StoredJob
 from verbenawind.batches.keeping import TextKeeper
-from verbenawind.batches.leftovers import Leftovers
 from verbenawind.batches.listing import ResultLister
 from verbenawind.batches.loading import JobLoader
 from verbenawind.batches.ordering import EngineChoice, Rank
-from verbenawind.batches.outcomes import ItemOutcomes
+from verbenawind.batches.outcomes import OutcomeHandler
 from verbenawind.batches.owned_job import ItemWork, OwnedJob
 from verbenawind.batches.types import ItemResult, JobState
+from verbenawind.batches.unfinished_work import UnfinishedWork
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.gateway import (
@@ -94,13 +94,15 @@
         self._loading: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._wake = asyncio.Event()
-        self._engines = EngineView(directory, newest_version, current_engines, loads_soon, clock)
+        self._engines = EngineSelector(
+            directory, newest_version, current_engines, loads_soon, clock
+        )
         self._texts_keeper = TextKeeper(journal, clock)
         self._loader = JobLoader(journal, clock)
         self._lister = ResultLister(journal, book, clock, self._drop, self._listed)
-        self._leftovers = Leftovers()
+        self._unfinished_work = UnfinishedWork()
         self.counts = RunnerCounts()
-        self._outcomes = ItemOutcomes(self._engines, newest_version, self._leftovers, clock)
+        self._outcomes = OutcomeHandler(self._engines, newest_version, self._unfinished_work, clock)
         self.stopping = False
         self._log = structlog.get_logger("batches")
         book.on_change(self._job_changed)
@@ -177,9 +179,11 @@
             loaded.submission,
             listed=loaded.listed,
             tail=loaded.tail,
-            held=self._leftovers.take_texts(items, record.min_version),
+            partial=self._unfinished_work.pop_texts(items, record.min_version),
             kept=loaded.kept,
-            carried_over_groups=self._leftovers.unfinished({item.group for item in items}),
+            carried_over_groups=self._unfinished_work.unfinished_groups(
+                {item.group for item in items}
+            ),
         )
         self.jobs[job_id] = job
         self._log.info(
@@ -220,7 +224,7 @@
             unfinished=len(job.work),
             age_s=round(self._age_s(job), 3),
         )
-        self._leftovers.keep(job.work.values())
+        self._unfinished_work.add(job.work.values())
         job.cancel()
 
     async def _hand_over(self, job: OwnedJob) -> None:
@@ -313,12 +317,12 @@
     ) -> None:
         record = job.stored.record
         started_s = self._clock.monotonic_s()
-        resumed, held_before = work.held.last_event, len(work.held.events)
+        resumed, events_before = work.partial.last_event, len(work.partial.events)
         expect = None
         if choice.probing:
             expect = self._newest_version(record.model)
-        elif route.single_version and work.held.versions:
-            expect = next(iter(work.held.versions))
+        elif route.single_version and work.partial.versions:
+            expect = next(iter(work.partial.versions))
         limits = RunLimits(
             remaining_s=remaining_s,
             first_event_s=_FIRST_EVENT_S,
@@ -332,7 +336,7 @@
             outcome = await run_item(
                 work.item,
                 job.submission.host,
-                work.held,
+                work.partial,
                 backend,
                 limits,
                 port=self._port,
@@ -340,9 +344,9 @@
                 paces=self._engines.paces,
                 should_move=lambda pace: (
                     work.moves < _MAX_MOVES
-                    and self._engines.should_move(pace, others, record, len(work.held.events))
+                    and self._engines.should_move(pace, others, record, len(work.partial.events))
                 ),
-                on_begun=lambda: self._begun(backend),
+                on_accepted=lambda: self._engine_accepted(backend),
             )
         finally:
             work.task = None
@@ -357,17 +361,17 @@
             end=outcome.end.value,
             detail=outcome.detail,
             resumed_after=resumed,
-            events=len(work.held.events),
-            versions=sorted(work.held.versions),
+            events=len(work.partial.events),
+            versions=sorted(work.partial.versions),
             took_s=round(self._clock.monotonic_s() - started_s, 3),
         )
         self.counts.runs[outcome.end] += 1
         if self.jobs.get(job.job_id) is job:
-            self._outcomes.learn(job, work, route, backend, choice, outcome, held_before)
+            self._outcomes.handle(job, work, route, backend, choice, outcome, events_before)
 
-    def _begun(self, backend: Backend) -> None:
+    def _engine_accepted(self, backend: Backend) -> None:
         """Let items that wait for an engine go there once it accepts again."""
-        if self._engines.accepted(backend.instance.instance_id):
+        if self._engines.record_acceptance(backend.instance.instance_id):
             self._wake.set()
 
     def _list_results(self) -> None:
--- a/tests/batches/test_engine_view.py
+++ b/tests/batches/test_engine_selection.py
@@ -1,6 +1,7 @@
-"""Tests of what refusals say of engines while new weights are loaded.
+"""Tests of engine selection while engines load new weights.
 
-During a wave of loads an engine refuses every item for about a second; it looks idle and fast.
+An engine that loads weights refuses every item for about a second, and meanwhile looks idle and
+fast.
 """
 
 import asyncio
@@ -9,15 +10,15 @@
 import pytest
 
 from node.fleet import MODEL, job
-from verbenawind.batches.engine_view import EngineView
-from verbenawind.batches.item_run import HeldText, RunEnd, RunOutcome
+from verbenawind.batches.engine_selection import EngineSelector
+from verbenawind.batches.item_run import PartialText, RunEnd, RunOutcome
 from verbenawind.batches.journal import StoredJob
-from verbenawind.batches.leftovers import Leftovers
 from verbenawind.batches.ordering import EngineChoice, rank_items
-from verbenawind.batches.outcomes import ItemOutcomes
+from verbenawind.batches.outcomes import OutcomeHandler
 from verbenawind.batches.owned_job import ItemWork, OwnedJob
 from verbenawind.batches.paces import RunPace
 from verbenawind.batches.types import JobRecord
+from verbenawind.batches.unfinished_work import UnfinishedWork
 from verbenawind.clock import LoopClock
 from verbenawind.gateway import Directory, Instance, Route, RouteKind
 from verbenawind.kernel.messages import Location
@@ -39,7 +40,7 @@
 
 
 class Pool:
-    """Engines by pace, and a view of them; make it inside a virtual loop."""
+    """Engines with given paces and a selector over them; create it inside a virtual event loop."""
 
     def __init__(self, **paces_s: float) -> None:
         self.clock = LoopClock(datetime(2026, 1, 1, tzinfo=UTC))
@@ -57,37 +58,37 @@
                     versions={MODEL: 1},
                 )
             )
-        self.due: set[str] = set()
-        self.view = EngineView(
+        self.loading_soon: set[str] = set()
+        self.selector = EngineSelector(
             self.directory,
             lambda _: 1,
             lambda _model, _service: frozenset(paces_s),
-            lambda _model, name: name in self.due,
+            lambda _model, name: name in self.loading_soon,
             self.clock,
         )
         for name, pace_s in paces_s.items():
-            self.view.paces.learn(name, pace_s)
+            self.selector.paces.learn(name, pace_s)
         submission = job(groups=2)
         ranks = rank_items(submission, ())
-        self.works = [ItemWork(i, ranks[i.item_id], HeldText()) for i in submission.items]
+        self.works = [ItemWork(i, ranks[i.item_id], PartialText()) for i in submission.items]
         self.job = OwnedJob(StoredJob(record=RECORD, version=1), submission)
-        self.outcomes = ItemOutcomes(self.view, lambda _: 1, Leftovers(), self.clock)
+        self.outcomes = OutcomeHandler(self.selector, lambda _: 1, UnfinishedWork(), self.clock)
 
     def choose(self, work: ItemWork) -> str | None:
-        """Return the engine that an item would start at."""
-        engines = self.view.engines(SERVICE, MODEL, work, single_version=False)
-        choice = self.view.choose(engines, SERVICE, RECORD, work)
+        """Return the engine on which an item would start."""
+        engines = self.selector.engines(SERVICE, MODEL, work, single_version=False)
+        choice = self.selector.choose(engines, SERVICE, RECORD, work)
         return choice.instance_id if choice else None
 
     def end(self, work: ItemWork, engine: str, end: RunEnd) -> None:
-        """Take in how a run has ended."""
+        """Report the end of a run."""
         backend = self.directory.get(engine)
         assert backend is not None
         choice = EngineChoice(instance_id=engine, reason="soonest")
-        self.outcomes.learn(self.job, work, ROUTE, backend, choice, RunOutcome(end=end), 0)
+        self.outcomes.handle(self.job, work, ROUTE, backend, choice, RunOutcome(end=end), 0)
 
     async def slow_run(self, pace_s: float) -> RunPace:
-        """Return the pace of a run that has made some events."""
+        """Return the pace of a run that has produced some events."""
         pace = RunPace()
         for _ in range(8):
             await asyncio.sleep(pace_s)
@@ -110,35 +111,35 @@
 
 class TestRefusals:
     def test_no_run_moves_to_an_engine_that_loads(self) -> None:
-        """A run stays where it works until the fast engine has had time to load."""
+        """A run stays on its engine until the faster one has had time to load its weights."""
 
         async def work() -> None:
             pool = Pool(fast=0.01, slow=0.05)
             pace = await pool.slow_run(0.05)
-            assert pool.view.should_move(pace, ["fast"], RECORD, 40)
-            pool.view.refused("fast", probing=False)
+            assert pool.selector.should_move(pace, ["fast"], RECORD, 40)
+            pool.selector.record_refusal("fast", probing=False)
             await asyncio.sleep(0.5)
-            assert not pool.view.should_move(pace, ["fast"], RECORD, 40)
+            assert not pool.selector.should_move(pace, ["fast"], RECORD, 40)
             await asyncio.sleep(0.6)
-            assert pool.view.should_move(pace, ["fast"], RECORD, 40)
+            assert pool.selector.should_move(pace, ["fast"], RECORD, 40)
 
         run_virtual(work())
 
     def test_no_run_moves_to_an_engine_that_is_about_to_load(self) -> None:
-        """As soon as a version is named, runs keep off the engines that load it first."""
+        """Once a version is published, no run moves to the engines that load it first."""
 
         async def work() -> None:
             pool = Pool(fast=0.01, slow=0.05, other=0.02)
             pace = await pool.slow_run(0.05)
-            pool.due = {"fast", "other"}
-            assert not pool.view.should_move(pace, ["fast", "other"], RECORD, 40)
-            pool.due = {"fast"}
-            assert pool.view.should_move(pace, ["fast", "other"], RECORD, 40)
+            pool.loading_soon = {"fast", "other"}
+            assert not pool.selector.should_move(pace, ["fast", "other"], RECORD, 40)
+            pool.loading_soon = {"fast"}
+            assert pool.selector.should_move(pace, ["fast", "other"], RECORD, 40)
 
         run_virtual(work())
 
-    def test_run_that_was_moved_in_vain_goes_back(self) -> None:
-        """An item that left a slow engine and was refused elsewhere may go on where it was."""
+    def test_run_returns_to_its_slow_engine_after_a_refusal(self) -> None:
+        """An item that left a slow engine and was refused elsewhere may return to it."""
 
         async def work() -> None:
             pool = Pool(fast=0.01, slow=0.05)
@@ -152,7 +153,7 @@
 
     @pytest.mark.parametrize("end", [RunEnd.BROKEN, RunEnd.STALLED, RunEnd.FAILED])
     def test_engine_that_failed_an_item_stays_excluded(self, end: RunEnd) -> None:
-        """A refusal elsewhere does not bring an item back to an engine that failed it."""
+        """An item refused by one engine does not return to another on which it failed."""
 
         async def work() -> None:
             pool = Pool(fast=0.01, slow=0.05)
@@ -164,33 +165,33 @@
         run_virtual(work())
 
     def test_one_item_at_a_time_tries_an_engine_that_refuses(self) -> None:
-        """While an engine loads, its queue of items sends one in a while, not all at once."""
+        """While an engine loads, waiting items are sent to it one per interval, not all at once."""
 
         async def work() -> None:
             pool = Pool(only=0.02)
-            pool.view.refused("only", probing=False)
-            tries = 0
+            pool.selector.record_refusal("only", probing=False)
+            attempts = 0
             for _ in range(20):
                 await asyncio.sleep(0.05)
                 sent = [item for item in pool.works if pool.choose(item) is not None]
-                tries += len(sent)
+                attempts += len(sent)
                 for _item in sent:
-                    pool.view.refused("only", probing=False)
-            # One each 0.08 s at most.
-            assert 5 <= tries <= 12
+                    pool.selector.record_refusal("only", probing=False)
+            # At most one per 0.08 s.
+            assert 5 <= attempts <= 12
 
         run_virtual(work())
 
     def test_engine_that_accepts_is_filled_at_once(self) -> None:
-        """The first item that is accepted opens the engine for all."""
+        """Once an engine accepts one item, all waiting items may start on it."""
 
         async def work() -> None:
             pool = Pool(only=0.02)
-            pool.view.refused("only", probing=False)
+            pool.selector.record_refusal("only", probing=False)
             await asyncio.sleep(0.1)
             first, *others = pool.works
             assert pool.choose(first) == "only" and pool.choose(others[0]) is None
-            pool.view.accepted("only")
+            pool.selector.record_acceptance("only")
             assert {pool.choose(item) for item in others} == {"only"}
 
         run_virtual(work())
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -555,7 +555,7 @@
             await fleet.clock.sleep(1.0)
             owner = fleet.members[await fleet.owner_of(submission.job_id)]
             (owned,) = owner.node.runner.jobs.values()
-            held = {name: len(work.held.events) for name, work in owned.work.items()}
+            partial = {name: len(work.partial.events) for name, work in owned.work.items()}
             await owner.node.hand_over()
             other = next(m for m in fleet.members.values() if m is not owner)
             check_whole(submission, await fleet.collect(other, submission))
@@ -565,7 +565,7 @@
                 for _, name, after in engine.started
                 if after is not None
             }
-            assert resumed == held
+            assert resumed == partial
 
         run_fleet(work)
 
