--- a/src/verbenawind/batches/listing.py
+++ b/src/verbenawind/batches/listing.py
@@ -1,4 +1,4 @@
-"""Lists the results of owned jobs, and closes jobs whose results are all listed."""
+"""Appends results of owned jobs to their result lists, and closes jobs with complete lists."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,21 +14,23 @@
 
 __all__ = ["ResultLister"]
 
-# Results wait so long for others to be listed with them.
-_COMMIT_PAUSE_S = 0.1
+# Results wait this long so that several are written in one transaction.
+_COMMIT_DELAY_S = 0.1
 _COMMIT_TIMEOUT_S = 3.0
 _READ_TIMEOUT_S = 3.0
 _RETRY_S = 0.05
 
 
 class ResultLister:
-    """Writes finished results to the journal, one transaction of a job at a time.
+    """Writes finished results to the store, with at most one transaction per job at a time.
+
+    A listed result has a fixed position and is visible to callers.
 
     Args:
-        journal: The lasting record.
-        book: Learns of jobs that are closed.
+        journal: Persistent record of jobs.
+        book: Known jobs, updated when a job is closed.
         clock: Time source.
-        drop: Stops a job that is somebody else's, with the reason.
+        drop: Stops running a job, with the reason.
         on_listed: Called with the results of each transaction.
     """
 
@@ -52,22 +54,25 @@
 
     def is_due(self, job: OwnedJob) -> bool:
         """Return whether a job's results should be listed now."""
-        if job.committing is not None or not (job.finished or not job.work):
+        if job.commit_task is not None or not (job.finished or not job.unfinished):
             return False
         waited_s = self._clock.monotonic_s() - job.finished_since_s
-        return not job.work or waited_s >= _COMMIT_PAUSE_S
+        return not job.unfinished or waited_s >= _COMMIT_DELAY_S
 
     async def commit(self, job: OwnedJob) -> None:
-        """List finished results; a transaction whose fate is open is repeated as it was."""
+        """List finished results, or close the job if all are listed.
+
+        A transaction whose outcome is unknown is repeated unchanged.
+        """
         try:
             if job.finished:
                 await self._list(job)
             else:
                 await self._close(job)
         except RowConflict as conflict:
-            await self._resolve(job, conflict)
+            await self._reload(job, conflict)
         finally:
-            job.committing = None
+            job.commit_task = None
 
     async def _list(self, job: OwnedJob) -> None:
         batch = list(job.finished)
@@ -96,7 +101,7 @@
         self._log.info("results_listed", job_id=job.job_id, results=count, position=tail.listed)
 
     async def _close(self, job: OwnedJob) -> None:
-        """Mark a job as done whose results are all listed."""
+        """Mark a job whose results are all listed as done."""
         done = msgspec.structs.replace(job.stored.record, state=JobState.DONE)
         try:
             self._book.learn(await self._journal.update(job.stored, done, _COMMIT_TIMEOUT_S))
@@ -104,8 +109,8 @@
             self._log.warning("job_not_closed", job_id=job.job_id, reason=error.message)
             await self._clock.sleep(_RETRY_S)
 
-    async def _resolve(self, job: OwnedJob, conflict: RowConflict) -> None:
-        """Read a job again whose rows are not what they were."""
+    async def _reload(self, job: OwnedJob, conflict: RowConflict) -> None:
+        """Read a job again after a conflict, and drop it or update its record."""
         self._log.warning("job_conflict", job_id=job.job_id, reason=conflict.message)
         try:
             stored = await self._journal.job(job.job_id, _READ_TIMEOUT_S)
@@ -113,9 +118,10 @@
             self._log.warning("job_not_read", job_id=job.job_id, reason=error.message)
             return
         if stored is None:
-            self._drop(job, "its row is gone")
+            self._drop(job, "its row was deleted")
         elif stored.version == job.stored.version:
-            # Results stand where none were expected: the keeper takes the job anew and reads them.
-            self._drop(job, "its results are not as expected")
+            # The store has results that this owner did not expect. Once the job is dropped, the
+            # takeover loop loads it again together with these results.
+            self._drop(job, "the store has other results than expected")
         else:
             self._book.learn(stored)
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -1,4 +1,4 @@
-"""Reads what the owner of a job needs to begin, or to go on where another has stopped."""
+"""Loads what an owner needs to start a job or to resume it after another owner."""
 
 from collections.abc import Iterable
 
@@ -18,13 +18,13 @@
 
 
 class LoadedJob(Value, frozen=True, kw_only=True):
-    """A job as the store has it.
+    """A job's stored state.
 
     Attributes:
-        submission: The job as it was submitted.
-        tail: Where the next results go.
-        listed: Ids of the items that are listed, in order.
-        kept: Text of unfinished items that an earlier owner kept, by item.
+        submission: The job as submitted.
+        tail: The end of the result list.
+        listed: Ids of the items with a listed result, in order.
+        kept: Partial text that an earlier owner persisted, by item.
     """
 
     submission: BatchSubmission
@@ -34,10 +34,10 @@
 
 
 class JobLoader:
-    """Reads jobs, and tries again while the store is away.
+    """Loads jobs, retrying while the store is unavailable.
 
     Args:
-        journal: The lasting record.
+        journal: Persistent record of jobs.
         clock: Time source.
     """
 
@@ -49,7 +49,7 @@
         self._log = structlog.get_logger("batches")
 
     async def load(self, stored: StoredJob, *, fresh: bool) -> LoadedJob:
-        """Return what the store has of a job; a *fresh* one has neither results nor texts."""
+        """Return a job's stored state; a *fresh* job has neither results nor partial texts."""
         while True:
             try:
                 return await self._load(stored, fresh)
@@ -63,30 +63,34 @@
         job_id = stored.record.job_id
         submission = await self._journal.submission(job_id, _READ_TIMEOUT_S)
         tail = Tail() if fresh else await self._journal.tail(job_id, _READ_TIMEOUT_S)
-        listed = await self._listed(job_id, tail.listed)
+        listed = await self._listed_item_ids(job_id, tail.listed)
         kept = [] if fresh else await self._journal.kept_texts(job_id, _READ_TIMEOUT_S)
         return LoadedJob(
             submission=submission,
             tail=tail,
             listed=tuple(listed),
-            kept=_assembled(kept, stored.record.min_version),
+            kept=_assemble_texts(kept, stored.record.min_version),
         )
 
-    async def _listed(self, job_id: str, count: int) -> list[str]:
+    async def _listed_item_ids(self, job_id: str, count: int) -> list[str]:
         """Return the ids of the listed items, in order."""
         listed: list[str] = []
         while len(listed) < count:
             found = await self._journal.results(job_id, len(listed), _READ_TIMEOUT_S)
             if not found:
                 raise StoreUnavailable(
-                    f"job {job_id} has {len(listed)} of {count} results", effect_possible=False
+                    f"only {len(listed)} of the {count} results of job {job_id} are stored",
+                    effect_possible=False,
                 )
             listed += [result.item_id for result in found]
         return listed
 
 
-def _assembled(texts: Iterable[KeptText], min_version: int) -> dict[str, PartialText]:
-    """Return the texts that an earlier owner kept, each up to its first gap, where they fit."""
+def _assemble_texts(texts: Iterable[KeptText], min_version: int) -> dict[str, PartialText]:
+    """Join persisted pieces to one text per item, each up to its first gap.
+
+    Texts from weights older than *min_version* are left out.
+    """
     partial: dict[str, PartialText] = {}
     for text in texts:
         whole = partial.setdefault(text.item_id, PartialText())
--- a/src/verbenawind/batches/owned_job.py
+++ b/src/verbenawind/batches/owned_job.py
@@ -1,4 +1,4 @@
-"""A job that this daemon runs: what is listed, what is held, and what is still to do."""
+"""The state of a job that this daemon runs: unfinished items, partial texts and results."""
 
 import asyncio
 from collections import Counter
@@ -13,17 +13,17 @@
 
 
 class ItemWork:
-    """An item that is not finished."""
+    """An unfinished item and the state of its runs."""
 
     __slots__ = (
         "excluded",
         "excluded_as_slow",
         "failures",
         "item",
-        "kept_events",
         "moves",
         "not_before_s",
         "partial",
+        "persisted_events",
         "rank",
         "task",
         "was_started",
@@ -34,11 +34,11 @@
         self.rank = rank
         self.partial = partial
         self.failures = 0
-        # How many events of the text the store has; None once that is not known.
-        self.kept_events: int | None = 0
+        # Number of persisted events; None once the persisted text can no longer be extended.
+        self.persisted_events: int | None = 0
         self.moves = 0
         self.excluded: set[str] = set()
-        # Whether the excluded engine works and is only slow.
+        # Whether the engine is excluded only because it is slow.
         self.excluded_as_slow = False
         self.not_before_s = 0.0
         self.was_started = False
@@ -46,31 +46,31 @@
 
 
 class OwnedJob:
-    """One owned job.
+    """A job that this daemon owns.
 
     Args:
         stored: The job's row under this owner.
-        submission: The job as it was submitted.
-        listed: Ids of the items that are listed, in order.
-        tail: Where the next results go.
-        held: Text of unfinished items from earlier jobs, by item.
-        kept: Text of unfinished items that an earlier owner of this job kept, by item.
-        returning_groups: Groups that an earlier job left unfinished.
+        submission: The job as submitted.
+        listed: Ids of the items with a listed result, in order.
+        tail: The end of the result list.
+        partial: Partial text from earlier jobs, by item.
+        kept: Partial text that an earlier owner of this job persisted, by item.
+        carried_over_groups: Groups that an earlier job left unfinished.
     """
 
     __slots__ = (
         "_group_of",
         "_unlisted",
-        "committing",
+        "commit_task",
         "finished",
         "finished_since_s",
-        "keep_at_s",
-        "keeping",
+        "next_write_at_s",
         "stored",
         "submission",
         "tail",
-        "unsure_texts",
-        "work",
+        "unconfirmed_texts",
+        "unfinished",
+        "write_task",
     )
 
     def __init__(
@@ -86,28 +86,28 @@
     ) -> None:
         ranks = rank_items(submission, carried_over_groups)
         done = set(listed)
-        texts = (partial or {}) | (kept or {})
+        partial_texts = (partial or {}) | (kept or {})
         self.stored = stored
         self.submission = submission
         self.tail = tail or Tail()
         self.finished: list[ItemResult] = []
         self.finished_since_s = 0.0
-        self.committing: asyncio.Task[None] | None = None
-        self.keeping: asyncio.Task[None] | None = None
-        self.keep_at_s = 0.0
-        # Texts that were sent to the store without an answer, with their items.
-        self.unsure_texts: tuple[tuple[ItemWork, KeptText], ...] = ()
-        self.work = {
+        self.commit_task: asyncio.Task[None] | None = None
+        self.write_task: asyncio.Task[None] | None = None
+        self.next_write_at_s = 0.0
+        # Items and texts of a write whose outcome is unknown.
+        self.unconfirmed_texts: tuple[tuple[ItemWork, KeptText], ...] = ()
+        self.unfinished = {
             item.item_id: ItemWork(
-                item, ranks[item.item_id], texts.get(item.item_id, PartialText())
+                item, ranks[item.item_id], partial_texts.get(item.item_id, PartialText())
             )
             for item in submission.items
             if item.item_id not in done
         }
         self._group_of = {item.item_id: item.group for item in submission.items}
-        self._unlisted = Counter(work.item.group for work in self.work.values())
-        for item_id in (kept or {}).keys() & self.work.keys():
-            self.work[item_id].kept_events = len(self.work[item_id].partial.events)
+        self._unlisted = Counter(work.item.group for work in self.unfinished.values())
+        for item_id in (kept or {}).keys() & self.unfinished.keys():
+            self.unfinished[item_id].persisted_events = len(self.unfinished[item_id].partial.events)
 
     @property
     def job_id(self) -> str:
@@ -116,27 +116,27 @@
 
     @property
     def waiting(self) -> Sequence[ItemWork]:
-        """Items that run nowhere."""
-        return [work for work in self.work.values() if work.task is None]
+        """Unfinished items that are not running."""
+        return [work for work in self.unfinished.values() if work.task is None]
 
     def complete_groups(self, results: Sequence[ItemResult]) -> Sequence[str]:
-        """Take in results that are listed now, and return the groups that they complete."""
+        """Record that results are listed, and return the groups that they complete."""
         self._unlisted.subtract(self._group_of[result.item_id] for result in results)
-        touched = {self._group_of[result.item_id] for result in results}
-        return [group for group in sorted(touched) if self._unlisted[group] == 0]
+        affected = {self._group_of[result.item_id] for result in results}
+        return [group for group in sorted(affected) if self._unlisted[group] == 0]
 
     def finish(self, result: ItemResult, now_s: float) -> None:
-        """Take an item out of the work; its result waits to be listed."""
-        self.work.pop(result.item_id, None)
+        """Remove a finished item and queue its result for listing."""
+        self.unfinished.pop(result.item_id, None)
         if not self.finished:
             self.finished_since_s = now_s
         self.finished.append(result)
 
     def cancel(self) -> None:
-        """Stop every run."""
-        for work in self.work.values():
+        """Cancel all runs and writes."""
+        for work in self.unfinished.values():
             if work.task is not None:
                 work.task.cancel()
-        for task in (self.committing, self.keeping):
+        for task in (self.commit_task, self.write_task):
             if task is not None:
                 task.cancel()
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -12,12 +12,12 @@
 from verbenawind.batches.engine_selection import EngineSelector
 from verbenawind.batches.item_run import RunLimits, RunnerCounts, run_item
 from verbenawind.batches.journal import JobJournal, StoredJob
-from verbenawind.batches.keeping import TextKeeper
 from verbenawind.batches.listing import ResultLister
 from verbenawind.batches.loading import JobLoader
 from verbenawind.batches.ordering import EngineChoice, Rank
 from verbenawind.batches.outcomes import OutcomeHandler
 from verbenawind.batches.owned_job import ItemWork, OwnedJob
+from verbenawind.batches.partial_texts import PartialTextWriter
 from verbenawind.batches.types import ItemResult, JobState
 from verbenawind.batches.unfinished_work import UnfinishedWork
 from verbenawind.clock import Clock
@@ -97,7 +97,7 @@
         self._engines = EngineSelector(
             directory, newest_version, current_engines, loads_soon, clock
         )
-        self._texts_keeper = TextKeeper(journal, clock)
+        self._text_writer = PartialTextWriter(journal, clock)
         self._loader = JobLoader(journal, clock)
         self._lister = ResultLister(journal, book, clock, self._drop, self._listed)
         self._unfinished_work = UnfinishedWork()
@@ -144,7 +144,7 @@
         self.stopping = True
         jobs = list(self.jobs.values())
         for job in jobs:
-            for work in job.work.values():
+            for work in job.unfinished.values():
                 if work.task is not None:
                     work.task.cancel()
         with contextlib.suppress(TimeoutError):
@@ -221,24 +221,24 @@
             reason=reason,
             listed=job.tail.listed,
             unlisted=len(job.finished),
-            unfinished=len(job.work),
+            unfinished=len(job.unfinished),
             age_s=round(self._age_s(job), 3),
         )
-        self._unfinished_work.add(job.work.values())
+        self._unfinished_work.add(job.unfinished.values())
         job.cancel()
 
     async def _hand_over(self, job: OwnedJob) -> None:
-        while job.job_id in self.jobs and (job.finished or job.committing is not None):
-            if job.committing is None:
-                job.committing = self._spawn(self._commit(job))
-            await asyncio.wait({job.committing})
+        while job.job_id in self.jobs and (job.finished or job.commit_task is not None):
+            if job.commit_task is None:
+                job.commit_task = self._spawn(self._commit(job))
+            await asyncio.wait({job.commit_task})
         if job.job_id not in self.jobs:
             return
-        if job.keeping is not None:
-            await asyncio.wait({job.keeping})
-        if job.unsure_texts:
-            await self._texts_keeper.keep(job)
-        await self._texts_keeper.keep(job, min_new_events=1)
+        if job.write_task is not None:
+            await asyncio.wait({job.write_task})
+        if job.unconfirmed_texts:
+            await self._text_writer.write(job)
+        await self._text_writer.write(job, min_new_events=1)
         free = msgspec.structs.replace(job.stored.record, owner="")
         try:
             self._book.learn(await self._journal.update(job.stored, free, _HAND_OVER_TIMEOUT_S))
@@ -379,9 +379,9 @@
             return
         for job in list(self.jobs.values()):
             if self._lister.is_due(job):
-                job.committing = self._spawn(self._commit(job))
-            if self._texts_keeper.is_due(job):
-                job.keeping = self._spawn(self._texts_keeper.keep(job))
+                job.commit_task = self._spawn(self._commit(job))
+            if self._text_writer.is_due(job):
+                job.write_task = self._spawn(self._text_writer.write(job))
 
     def _listed(self, job: OwnedJob, results: Sequence[ItemResult]) -> None:
         """Measure what has just been listed."""
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -455,7 +455,7 @@
             fleet.store.faults.slow_s = 0.2
             # A transaction is under way, and more items have ended since it began.
             await fleet.until(
-                lambda: any(j.committing and len(j.finished) > 8 for j in runner.jobs.values())
+                lambda: any(j.commit_task and len(j.finished) > 8 for j in runner.jobs.values())
             )
             await owner.node.hand_over()
             fleet.store.faults.slow_s = 0.0
@@ -555,7 +555,7 @@
             await fleet.clock.sleep(1.0)
             owner = fleet.members[await fleet.owner_of(submission.job_id)]
             (owned,) = owner.node.runner.jobs.values()
-            partial = {name: len(work.partial.events) for name, work in owned.work.items()}
+            partial = {name: len(work.partial.events) for name, work in owned.unfinished.items()}
             await owner.node.hand_over()
             other = next(m for m in fleet.members.values() if m is not owner)
             check_whole(submission, await fleet.collect(other, submission))
