--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted once, run wherever engines have room, listed at fixed positions."""
+"""Batch jobs: accepted once, run on any engine with a free slot, listed at fixed positions."""
 
 from verbenawind.batches.book import JobBook
 from verbenawind.batches.doubts import OwnerDoubts, PeerAnswer, PeerProbe
--- a/src/verbenawind/batches/book.py
+++ b/src/verbenawind/batches/book.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of every job, from the feed and from its own writes."""
+"""Local copy of all job records, updated from the change feed and from this daemon's writes."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,7 +14,7 @@
 
 
 class KnownJob:
-    """A job, and since when its present owner is known."""
+    """A job, and the time at which this daemon first saw its current owner."""
 
     __slots__ = ("job", "owned_since_s")
 
@@ -29,7 +29,7 @@
 
 
 class JobBook:
-    """Jobs by id; the highest row version of each stays.
+    """Known jobs by id, each with the highest row version that was seen.
 
     Args:
         clock: Time source.
@@ -44,11 +44,11 @@
         self._log = structlog.get_logger("batches")
 
     def on_change(self, listener: Callable[[StoredJob], None]) -> None:
-        """Call *listener* with each job that has changed."""
+        """Call *listener* with every new or changed job."""
         self._listeners.append(listener)
 
     def take_row(self, row: StoredRow) -> None:
-        """Take in a row of the jobs' table."""
+        """Apply a row of the jobs table."""
         if row.value is None:
             self._jobs.pop(row.row_id.part, None)
             return
@@ -57,10 +57,10 @@
         except msgspec.MsgspecError as error:
             self._log.error("job_unreadable", job_id=row.row_id.part, error=str(error))
             return
-        self.learn(StoredJob(record=record, version=row.version))
+        self.put(StoredJob(record=record, version=row.version))
 
-    def learn(self, job: StoredJob) -> None:
-        """Take in a job unless a newer version of it is known."""
+    def put(self, job: StoredJob) -> None:
+        """Store a job unless the same or a newer version is known."""
         job_id = job.record.job_id
         known = self._jobs.get(job_id)
         if known is not None and known.job.version >= job.version:
@@ -73,11 +73,11 @@
             listener(job)
 
     def get(self, job_id: str) -> KnownJob | None:
-        """Return a job that is known here; others may exist."""
+        """Return a job, or None if it is not known to this daemon; the store may still have it."""
         return self._jobs.get(job_id)
 
-    def forget(self, job_id: str) -> None:
-        """Drop a job that is gone from the store."""
+    def remove(self, job_id: str) -> None:
+        """Remove a job that was deleted from the store."""
         self._jobs.pop(job_id, None)
 
     def closed_jobs(self) -> Sequence[KnownJob]:
@@ -85,5 +85,5 @@
         return [known for known in self._jobs.values() if known.record.state is not JobState.OPEN]
 
     def open_jobs(self) -> Sequence[KnownJob]:
-        """Return the jobs that are worked on."""
+        """Return the jobs that are neither done nor ended."""
         return [known for known in self._jobs.values() if known.record.state is JobState.OPEN]
--- a/src/verbenawind/batches/doubts.py
+++ b/src/verbenawind/batches/doubts.py
@@ -1,4 +1,7 @@
-"""Asks owners that have gone silent directly, which tells sooner than further silence."""
+"""Detects failed job owners from their heartbeats and by probing the hosts of silent ones.
+
+A probe detects a failure sooner than waiting for the heartbeat timeout.
+"""
 
 import asyncio
 from collections import OrderedDict
@@ -12,17 +15,18 @@
 
 __all__ = ["OwnerDoubts", "PeerAnswer", "PeerProbe"]
 
-# A busy host beats each 0.5 s, and its beat takes a feed's pause to arrive.
-_DOUBT_S = 0.8
-# Between two questions to one owner.
-_ASK_PERIOD_S = 0.3
-# How long an answer that did not come counts.
-_ANSWER_HOLDS_S = 1.0
+# Silence after which an owner's host is probed. A busy host writes a heartbeat every 0.5 s, and it
+# arrives up to one polling interval of the feed later.
+_PROBE_AFTER_S = 0.8
+# Interval between probes of one host.
+_PROBE_PERIOD_S = 0.3
+# How long an unanswered probe counts as evidence.
+_UNANSWERED_TTL_S = 1.0
 _MAX_REFUSED = 1000
 
 
 class PeerAnswer(StrEnum):
-    """What became of a connection to a daemon's address."""
+    """The result of connecting to a daemon's address."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -30,30 +34,30 @@
 
 
 class PeerProbe(Protocol):
-    """Tells a host without a daemon from one that cannot be reached."""
+    """Distinguishes a host on which no daemon runs from a host that cannot be reached."""
 
     async def ask(self, address: str) -> PeerAnswer:
-        """Return what a connection to a daemon's address leads to, within some 0.3 s."""
+        """Return the result of connecting to a daemon's address, within about 0.3 s."""
 
 
 class OwnerDoubts:
-    """Judges owners by their beats, and by what the hosts of silent ones answer.
+    """Decides from heartbeats and probes whether owners have failed.
 
-    A refused connection proves that a daemon is gone. A host that does not answer may be frozen or
-    cut off; together with the silence of its beats, half as long a silence is enough.
+    A refused connection proves that the daemon no longer runs. A host that does not answer may be
+    frozen or partitioned; in that case about half the usual heartbeat timeout is enough.
 
     Args:
-        beats: Who is there.
-        probe: Asks a host.
+        beats: Heartbeats of all daemons.
+        probe: Connects to a host.
         clock: Time source.
     """
 
     __slots__ = (
-        "_asked_at_s",
         "_beats",
         "_clock",
         "_log",
         "_probe",
+        "_probed_at_s",
         "_refused",
         "_tasks",
         "_unanswered",
@@ -63,47 +67,47 @@
         self._beats = beats
         self._probe = probe
         self._clock = clock
-        self._asked_at_s: dict[str, float] = {}
+        self._probed_at_s: dict[str, float] = {}
         self._refused: OrderedDict[str, None] = OrderedDict()
-        # Owners whose hosts gave no answer to the latest question, with its time.
+        # Owners whose hosts did not answer the latest probe, with the time of that probe.
         self._unanswered: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._log = structlog.get_logger("hosts")
 
     def is_gone(self, owner_id: str, since_s: float) -> bool:
-        """Return whether an owner is taken for gone.
+        """Return whether an owner is considered failed.
 
         Args:
             owner_id: A daemon's incarnation.
-            since_s: Since when it has owned work.
+            since_s: Monotonic time since which it has owned the job.
         """
         if owner_id in self._refused:
             return True
-        asked_at_s = self._unanswered.get(owner_id, float("-inf"))
-        unanswered = self._clock.monotonic_s() - asked_at_s < _ANSWER_HOLDS_S
+        probed_at_s = self._unanswered.get(owner_id, float("-inf"))
+        unanswered = self._clock.monotonic_s() - probed_at_s < _UNANSWERED_TTL_S
         return self._beats.is_gone(owner_id, since_s, unanswered=unanswered)
 
-    def silent(self, owner_id: str, since_s: float) -> Beat | None:
-        """Return the last beat of an owner that is worth asking, None for one that beats."""
-        return self._beats.silent_owner(owner_id, since_s, _DOUBT_S)
+    def last_beat_if_silent(self, owner_id: str, since_s: float) -> Beat | None:
+        """Return the last heartbeat of an owner that should be probed, None if it is not silent."""
+        return self._beats.silent_owner(owner_id, since_s, _PROBE_AFTER_S)
 
-    def ask(self, beat: Beat) -> None:
-        """Ask the host of a silent owner, unless it was asked just now."""
+    def start_probe(self, beat: Beat) -> None:
+        """Probe the host of a silent owner, unless it was probed very recently."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._asked_at_s.get(beat.host, float("-inf")) < _ASK_PERIOD_S:
+        if now_s - self._probed_at_s.get(beat.host, float("-inf")) < _PROBE_PERIOD_S:
             return
-        self._asked_at_s[beat.host] = now_s
-        task = asyncio.get_running_loop().create_task(self._learn(beat))
+        self._probed_at_s[beat.host] = now_s
+        task = asyncio.get_running_loop().create_task(self._probe_owner(beat))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _learn(self, beat: Beat) -> None:
+    async def _probe_owner(self, beat: Beat) -> None:
         answer = await self._probe.ask(beat.address)
         now_s = self._clock.monotonic_s()
         self._unanswered = {
-            owner_id: asked_at_s
-            for owner_id, asked_at_s in self._unanswered.items()
-            if owner_id != beat.owner_id and now_s - asked_at_s < _ANSWER_HOLDS_S
+            owner_id: probed_at_s
+            for owner_id, probed_at_s in self._unanswered.items()
+            if owner_id != beat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
         }
         if answer is PeerAnswer.NONE:
             self._unanswered[beat.owner_id] = now_s
--- a/src/verbenawind/batches/item_run.py
+++ b/src/verbenawind/batches/item_run.py
@@ -229,9 +229,7 @@
             mixed_versions = limits.single_version and bool(partial.versions - {version})
             if version < limits.min_version or mixed_versions:
                 partial.clear()
-                return RunOutcome(
-                    end=RunEnd.TOO_OLD, detail=f"weight version {version} not allowed"
-                )
+                return RunOutcome(end=RunEnd.TOO_OLD, detail=f"disallowed weight version {version}")
             if partial.last_event is not None and event.event_id != partial.last_event + 1:
                 return RunOutcome(
                     end=RunEnd.BROKEN,
--- a/src/verbenawind/batches/journal.py
+++ b/src/verbenawind/batches/journal.py
@@ -1,4 +1,4 @@
-"""The lasting record of batch jobs in the row store: jobs, owners and results."""
+"""Persistence of batch jobs in the row store: records with owners, results and partial texts."""
 
 from collections.abc import Sequence
 
@@ -32,14 +32,14 @@
 _JOB_KEY = "job"
 _TAIL_KEY = "tail"
 _POSITION_DIGITS = 8
-# Part of a row that results may fill; the rest is for the encoding.
-_ROW_FILL = 0.9
+# Fraction of a row's size limit that results may fill; the rest is left for the encoding.
+_MAX_ROW_FILL = 0.9
 _MAX_TRANSACTION_BYTES = 400 * 1024
 _MAX_TRANSACTION_ROWS = 40
 _MAX_PAGE_BYTES = 700 * 1024
-# Rows that one transaction of a sweep deletes.
-_SWEPT_ROWS = 40
-_END_TRIES = 5
+# Number of rows that are deleted in one transaction.
+_MAX_DELETED_ROWS = 40
+_MAX_END_ATTEMPTS = 5
 
 
 class StoredJob(Value, frozen=True, kw_only=True):
@@ -50,10 +50,10 @@
 
 
 class Tail(Value, frozen=True, kw_only=True):
-    """How many results are listed, and the version of the row that says so.
+    """The number of listed results, and the version of the row that holds it.
 
-    Every transaction that lists results compares and writes this row, so that no two of them can
-    fill the same positions.
+    Every transaction that lists results checks and writes this row, so that no two transactions
+    can write the same positions.
     """
 
     listed: int = 0
@@ -61,9 +61,9 @@
 
 
 class KeptText(Value, frozen=True, kw_only=True, array_like=True):
-    """A stretch of an unfinished text, from its event number ``first`` on, counted from 0.
+    """A piece of an item's partial text, starting at event number ``first``, counted from 0.
 
-    ``versions`` are the weights of the whole text so far.
+    ``versions`` are the weight versions of the entire text up to the end of this piece.
     """
 
     item_id: str
@@ -75,7 +75,10 @@
 
 
 class _StoredResult(Value, frozen=True, kw_only=True, array_like=True):
-    """A result in its row; a text too large for a row is an object of its own."""
+    """A result as stored in a row.
+
+    A text that is too large for a row is stored as an object, named by ``text_object``.
+    """
 
     item_id: str
     state: str
@@ -85,14 +88,14 @@
 
 
 class JobJournal:
-    """Reads and writes jobs and results.
+    """Reads and writes jobs, results and partial texts.
 
-    All rows of a job are one partition. Every result row is written in a transaction that checks
-    the job's row, which names the owner, so that a former owner can list nothing.
+    All rows of a job share one partition. Every transaction that writes results checks the version
+    of the job's row, which names the owner, so that a former owner cannot list any.
 
     Args:
         store: The row store.
-        max_row_bytes: The largest value of a row.
+        max_row_bytes: The size limit of a row's value.
     """
 
     __slots__ = ("_max_row_bytes", "_store")
@@ -104,10 +107,10 @@
     async def accept(
         self, submission: BatchSubmission, record: JobRecord, timeout_s: float
     ) -> StoredJob:
-        """Record a job unless it is there, and return it as it stands.
+        """Record a job unless it already exists, and return its current state.
 
         Raises:
-            StoreUnavailable: ``effect_possible`` says whether it may have been recorded.
+            StoreUnavailable: ``effect_possible`` tells whether the job may have been recorded.
         """
         data = msgspec.msgpack.encode(submission)
         await self._put(_submission_object(record.job_id), data, timeout_s)
@@ -117,16 +120,16 @@
                 replacement(row_id, 0, msgspec.json.encode(record)), timeout_s
             )
         except RowConflict:
-            known = await self.job(record.job_id, timeout_s)
-            if known is None:
+            existing = await self.job(record.job_id, timeout_s)
+            if existing is None:
                 raise StoreUnavailable(
-                    f"job {record.job_id} was there and is gone", effect_possible=True
+                    f"job {record.job_id} already existed but was deleted", effect_possible=True
                 ) from None
-            return known
+            return existing
         return StoredJob(record=record, version=version)
 
     async def job(self, job_id: str, timeout_s: float) -> StoredJob | None:
-        """Return a job's record, None where there is no such job."""
+        """Return a job's record, or None if there is no such job."""
         page = await self._store.rows(JOBS_TABLE, job_id, timeout_s)
         for row in page.rows:
             if row.value is not None:
@@ -134,14 +137,20 @@
         return None
 
     async def submission(self, job_id: str, timeout_s: float) -> BatchSubmission:
-        """Return a job as it was submitted."""
+        """Return a job as submitted."""
         data = await self._store.get_object(_submission_object(job_id), timeout_s)
         if data is None:
-            raise StoreUnavailable(f"the items of job {job_id} are missing", effect_possible=False)
+            raise StoreUnavailable(
+                f"the submission of job {job_id} is missing from the store", effect_possible=False
+            )
         return msgspec.msgpack.decode(data, type=BatchSubmission)
 
     async def update(self, job: StoredJob, record: JobRecord, timeout_s: float) -> StoredJob:
-        """Replace a job's record; raises RowConflict when it has changed meanwhile."""
+        """Replace a job's record.
+
+        Raises:
+            RowConflict: The record has changed since it was read.
+        """
         row_id = _job_row(record.job_id)
         version = await self._store.commit(
             replacement(row_id, job.version, msgspec.json.encode(record)), timeout_s
@@ -149,8 +158,8 @@
         return StoredJob(record=record, version=version)
 
     async def end(self, job_id: str, timeout_s: float) -> StoredJob | None:
-        """End a job, whoever owns it; None where there is no such job."""
-        for _ in range(_END_TRIES):
+        """End a job, whoever owns it; return None if there is no such job."""
+        for _ in range(_MAX_END_ATTEMPTS):
             job = await self.job(job_id, timeout_s)
             if job is None or job.record.state is JobState.ENDED:
                 return job
@@ -159,10 +168,13 @@
                 return await self.update(job, ended, timeout_s)
             except RowConflict:
                 continue
-        raise StoreUnavailable(f"job {job_id} changes too often to be ended", effect_possible=False)
+        raise StoreUnavailable(
+            f"job {job_id} was not ended: its row changed on every attempt",
+            effect_possible=False,
+        )
 
     async def tail(self, job_id: str, timeout_s: float) -> Tail:
-        """Return how many results of a job are listed."""
+        """Return the end of a job's result list."""
         page = await self._store.rows(_TAILS_TABLE, job_id, timeout_s)
         for row in page.rows:
             if row.value is not None:
@@ -178,13 +190,14 @@
         *,
         repeated: bool = False,
     ) -> Tail:
-        """List results after those that are listed and return the new tail.
+        """Append results to the list and return the new tail.
 
-        Fewer than were given are listed where they don't fit one transaction. A *repeated* call,
-        after one with the same arguments whose answer was lost, lists nothing twice.
+        Only the first results are listed if not all of them fit into one transaction. A *repeated*
+        call, which follows one with the same arguments and an unknown outcome, lists no result
+        twice.
 
         Raises:
-            RowConflict: The job has another owner, has ended, or has other results by now.
+            RowConflict: The job's owner, state or list has changed.
         """
         job_id = job.record.job_id
         checks = [
@@ -194,7 +207,7 @@
         writes: list[RowWrite] = []
         listed = size_bytes = 0
         while listed < len(results) and len(writes) < _MAX_TRANSACTION_ROWS:
-            row, count = await self._row(job_id, results[listed:], timeout_s)
+            row, count = await self._pack_row(job_id, results[listed:], timeout_s)
             if writes and size_bytes + len(row) > _MAX_TRANSACTION_BYTES:
                 break
             listed += count
@@ -219,12 +232,12 @@
         *,
         repeated: bool = False,
     ) -> int:
-        """Write stretches of unfinished texts, as many as fit, and return how many were written.
+        """Write pieces of partial texts, as many as fit, and return how many were written.
 
-        A *repeated* call comes after one with the same arguments whose answer was lost.
+        A *repeated* call follows one with the same arguments and an unknown outcome.
 
         Raises:
-            RowConflict: The job has another owner, or a stretch was written before.
+            RowConflict: The job's row has changed, or a piece was already written.
         """
         job_id = job.record.job_id
         checks = [RowCheck(row_id=_job_row(job_id), version=job.version)]
@@ -248,7 +261,7 @@
         return len(writes)
 
     async def kept_texts(self, job_id: str, timeout_s: float) -> Sequence[KeptText]:
-        """Return the stretches of unfinished texts, those of an item in order."""
+        """Return the persisted pieces of partial texts, in order for each item."""
         found: list[KeptText] = []
         first, more = "", True
         while more:
@@ -265,7 +278,7 @@
     async def results(
         self, job_id: str, after: int, timeout_s: float, *, limit: int = 100
     ) -> Sequence[ItemResult]:
-        """Return listed results from a position on, as many as one answer holds."""
+        """Return listed results from a position on, as many as fit into one response."""
         page = await self._store.rows(
             _RESULTS_TABLE, job_id, timeout_s, first=_position_key(after), limit=limit
         )
@@ -277,7 +290,7 @@
             stored = msgspec.msgpack.decode(row.value, type=list[_StoredResult])
             first = int(row.row_id.key) - len(stored) + 1
             for result in stored[max(0, after - first) :]:
-                text = await self._text(result, timeout_s)
+                text = await self._load_text(result, timeout_s)
                 size_bytes += len(text)
                 if found and size_bytes > _MAX_PAGE_BYTES:
                     return found
@@ -292,18 +305,20 @@
         return found
 
     async def remove(self, job: StoredJob, timeout_s: float) -> None:
-        """Remove all of a job; its own row goes last, so that a broken off removal is repeated.
+        """Delete everything stored for a job.
+
+        The job's own row is deleted last, so that an interrupted removal is tried again.
 
         Raises:
-            RowConflict: The job has changed meanwhile.
+            RowConflict: The job has changed since it was read.
         """
         job_id = job.record.job_id
         for table in (_RESULTS_TABLE, _TEXTS_TABLE, _TAILS_TABLE):
             while rows := (
-                await self._store.rows(table, job_id, timeout_s, limit=_SWEPT_ROWS)
+                await self._store.rows(table, job_id, timeout_s, limit=_MAX_DELETED_ROWS)
             ).rows:
                 for result in rows:
-                    await self._drop_text(table, result.value, timeout_s)
+                    await self._drop_text_objects(table, result.value, timeout_s)
                 await self._delete([(row.row_id, row.version) for row in rows], timeout_s)
         await self._store.drop_object(_submission_object(job_id), timeout_s)
         await self._delete([(_job_row(job_id), job.version)], timeout_s)
@@ -313,33 +328,33 @@
         writes = tuple(RowWrite(row_id=row_id, value=None) for row_id, _ in rows)
         await self._store.commit(RowTransaction(checks=checks, writes=writes), timeout_s)
 
-    async def _drop_text(self, table: str, value: bytes | None, timeout_s: float) -> None:
-        """Remove the objects of texts that were too large for a result's row."""
+    async def _drop_text_objects(self, table: str, value: bytes | None, timeout_s: float) -> None:
+        """Delete the objects of texts that were too large for a result row."""
         if table != _RESULTS_TABLE or value is None:
             return
         for result in msgspec.msgpack.decode(value, type=list[_StoredResult]):
             if result.text_object:
                 await self._store.drop_object(result.text_object, timeout_s)
 
-    async def _row(
+    async def _pack_row(
         self, job_id: str, results: Sequence[ItemResult], timeout_s: float
     ) -> tuple[bytes, int]:
-        """Return the value of a row with as many of the results as fit, and their number."""
-        room_bytes = int(self._max_row_bytes * _ROW_FILL)
+        """Return a row's value with as many of the results as fit, and their number."""
+        room_bytes = int(self._max_row_bytes * _MAX_ROW_FILL)
         row: list[_StoredResult] = []
         encoded = b""
         for result in results:
-            stored = _stored(result)
+            stored = _to_stored(result)
             if len(msgspec.msgpack.encode([stored])) > room_bytes:
-                stored = await self._as_object(job_id, stored, timeout_s)
-            longer = msgspec.msgpack.encode([*row, stored])
-            if row and len(longer) > room_bytes:
+                stored = await self._store_as_object(job_id, stored, timeout_s)
+            candidate = msgspec.msgpack.encode([*row, stored])
+            if row and len(candidate) > room_bytes:
                 break
             row.append(stored)
-            encoded = longer
+            encoded = candidate
         return encoded, len(row)
 
-    async def _as_object(
+    async def _store_as_object(
         self, job_id: str, stored: _StoredResult, timeout_s: float
     ) -> _StoredResult:
         data = stored.text.encode()
@@ -347,29 +362,31 @@
         await self._put(name, data, timeout_s)
         return msgspec.structs.replace(stored, text="", text_object=name)
 
-    async def _text(self, result: _StoredResult, timeout_s: float) -> str:
+    async def _load_text(self, result: _StoredResult, timeout_s: float) -> str:
         if not result.text_object:
             return result.text
         data = await self._store.get_object(result.text_object, timeout_s)
         if data is None:
-            raise StoreUnavailable(f"text {result.text_object} is missing", effect_possible=False)
+            raise StoreUnavailable(
+                f"text object {result.text_object} is missing from the store", effect_possible=False
+            )
         return data.decode()
 
     async def _put(self, name: str, data: bytes, timeout_s: float) -> None:
-        """Store an object; a try whose answer was lost does no harm."""
+        """Store an object; an unknown outcome is reported as having no effect."""
         try:
             await self._store.put_object(name, data, timeout_s)
         except StoreUnavailable as error:
-            # An object that no row names is nothing.
+            # An object has no effect until a row refers to it.
             raise StoreUnavailable(error.message, effect_possible=False) from error
 
 
 def decode_job(value: bytes) -> JobRecord:
-    """Return the record in a job's row."""
+    """Decode the value of a job's row."""
     return msgspec.json.decode(value, type=JobRecord)
 
 
-def _stored(result: ItemResult) -> _StoredResult:
+def _to_stored(result: ItemResult) -> _StoredResult:
     return _StoredResult(
         item_id=result.item_id,
         state=result.state.value,
@@ -392,7 +409,11 @@
 
 
 def _result_row(job_id: str, last_position: int) -> RowId:
-    """Rows are named by their last position, so that a read from any position finds its row."""
+    """Return the id of a result row.
+
+    The key is the row's last position, so that a scan from any position starts at the row that
+    contains it.
+    """
     return RowId(table=_RESULTS_TABLE, part=job_id, key=_position_key(last_position))
 
 
--- a/src/verbenawind/batches/keeper.py
+++ b/src/verbenawind/batches/keeper.py
@@ -1,4 +1,4 @@
-"""Takes over jobs whose owner is gone; the conditional write of the job's row decides."""
+"""Takes over jobs without a live owner, by a conditional write to the job's row."""
 
 from collections.abc import Sequence
 
@@ -17,31 +17,31 @@
 
 __all__ = ["JobKeeper", "claim_delay_s"]
 
-_LOOK_S = 0.1
+_CHECK_PERIOD_S = 0.1
 _CLAIM_TIMEOUT_S = 2.0
-# Each further daemon in a job's order of claimants waits so much longer.
+# Additional delay of each further daemon in a job's order of claimants.
 _RANK_DELAY_S = 0.4
 _MAX_RANKED = 8
-# The first claimants of a job ask its owner when it falls silent.
-_ASKING_RANKS = 3
+# Number of claimants, in that order, that probe a silent owner.
+_PROBING_RANKS = 3
 
 
 def claim_delay_s(job_id: str, host: str, claimants: Sequence[str]) -> float:
-    """Return how long a daemon leaves a job without owner to those that come before it."""
+    """Return how long a host waits before it claims a job, by its rank among the claimants."""
     order = top(job_id, claimants, _MAX_RANKED)
     rank = order.index(host) if host in order else _MAX_RANKED
     return rank * _RANK_DELAY_S
 
 
 class JobKeeper:
-    """Claims jobs that nobody runs.
+    """Claims jobs without a live owner.
 
     Args:
-        book: Every job that is known.
-        journal: The lasting record.
+        book: Known jobs.
+        journal: Persistent record of jobs.
         runner: Runs claimed jobs.
-        beats: Who is there.
-        doubts: Judges owners.
+        beats: Heartbeats of all daemons.
+        doubts: Decides whether owners have failed.
         clock: Time source.
     """
 
@@ -79,42 +79,42 @@
         self.takeovers = 0
 
     async def run(self) -> None:
-        """Look for jobs without a live owner until cancelled."""
+        """Claim jobs without a live owner until cancelled."""
         while True:
             for known in self._book.open_jobs():
                 if self.paused:
                     break
-                await self._look(known)
-            await self._clock.sleep(_LOOK_S)
+                await self._check(known)
+            await self._clock.sleep(_CHECK_PERIOD_S)
 
-    async def _look(self, known: KnownJob) -> None:
+    async def _check(self, known: KnownJob) -> None:
         record = known.record
         if record.owner == self._runner.owner:
-            # Another daemon has placed it here, or it was dropped after a conflict.
-            self._runner.take(known.job)
+            # Another daemon placed the job on this one, or it was dropped after a conflict.
+            self._runner.start_job(known.job)
             return
         if record.owner and not self._doubts.is_gone(record.owner, known.owned_since_s):
             self._orphan_since_s.pop(record.job_id, None)
-            silent = self._doubts.silent(record.owner, known.owned_since_s)
-            if silent is not None and self._may_ask(record):
-                self._doubts.ask(silent)
+            last_beat = self._doubts.last_beat_if_silent(record.owner, known.owned_since_s)
+            if last_beat is not None and self._may_probe(record):
+                self._doubts.start_probe(last_beat)
             return
         now_s = self._clock.monotonic_s()
         since_s = self._orphan_since_s.setdefault(record.job_id, now_s)
-        if now_s - since_s >= self._delay_s(record.job_id, record.owner):
+        if now_s - since_s >= self._own_delay_s(record.job_id, record.owner):
             self._orphan_since_s.pop(record.job_id, None)
             await self._claim(known)
 
-    def _may_ask(self, record: JobRecord) -> bool:
-        """Return whether this host is among the first claimants of a job."""
-        return self._delay_s(record.job_id, record.owner) < _ASKING_RANKS * _RANK_DELAY_S
+    def _may_probe(self, record: JobRecord) -> bool:
+        """Return whether this host ranks high enough among the claimants to probe the owner."""
+        return self._own_delay_s(record.job_id, record.owner) < _PROBING_RANKS * _RANK_DELAY_S
 
-    def _delay_s(self, job_id: str, owner: str) -> float:
-        own = self._beats.own.host
-        former = host_of(owner)
-        if former == own:
+    def _own_delay_s(self, job_id: str, owner: str) -> float:
+        own_host = self._beats.own.host
+        former_host = host_of(owner)
+        if former_host == own_host:
             return 0.0
-        return claim_delay_s(job_id, own, self._beats.claimants([former]))
+        return claim_delay_s(job_id, own_host, self._beats.claimants([former_host]))
 
     async def _claim(self, known: KnownJob) -> None:
         record = known.record
@@ -136,5 +136,5 @@
             self._log.info("job_claim_failed", job_id=record.job_id, reason=error.message)
             return
         self.takeovers += 1
-        self._book.learn(stored)
-        self._runner.take(stored)
+        self._book.put(stored)
+        self._runner.start_job(stored)
--- a/src/verbenawind/batches/listing.py
+++ b/src/verbenawind/batches/listing.py
@@ -104,7 +104,7 @@
         """Mark a job whose results are all listed as done."""
         done = msgspec.structs.replace(job.stored.record, state=JobState.DONE)
         try:
-            self._book.learn(await self._journal.update(job.stored, done, _COMMIT_TIMEOUT_S))
+            self._book.put(await self._journal.update(job.stored, done, _COMMIT_TIMEOUT_S))
         except StoreUnavailable as error:
             self._log.warning("job_not_closed", job_id=job.job_id, reason=error.message)
             await self._clock.sleep(_RETRY_S)
@@ -124,4 +124,4 @@
             # takeover loop loads it again together with these results.
             self._drop(job, "the store has other results than expected")
         else:
-            self._book.learn(stored)
+            self._book.put(stored)
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -79,7 +79,7 @@
             found = await self._journal.results(job_id, len(listed), _READ_TIMEOUT_S)
             if not found:
                 raise StoreUnavailable(
-                    f"only {len(listed)} of the {count} results of job {job_id} are stored",
+                    f"job {job_id}: only {len(listed)} of {count} results are stored",
                     effect_possible=False,
                 )
             listed += [result.item_id for result in found]
@@ -93,10 +93,10 @@
     """
     partial: dict[str, PartialText] = {}
     for text in texts:
-        whole = partial.setdefault(text.item_id, PartialText())
-        if text.first == len(whole.events):
-            whole.extend(text.events, text.last_event, text.last_version)
-            whole.versions.update(text.versions)
+        joined = partial.setdefault(text.item_id, PartialText())
+        if text.first == len(joined.events):
+            joined.extend(text.events, text.last_event, text.last_version)
+            joined.versions.update(text.versions)
     return {
         item_id: text
         for item_id, text in partial.items()
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of the jobs that this daemon owns and lists their results."""
+"""Runs the items of the jobs that this daemon owns, and lists their results."""
 
 import asyncio
 import contextlib
@@ -35,14 +35,14 @@
 __all__ = ["BatchRunner"]
 
 _HAND_OVER_TIMEOUT_S = 3.0
-# The pause between looks at waiting items when nothing wakes the runner.
-_LOOK_S = 0.05
-# How long an engine may be silent before an item goes on elsewhere.
+# Interval between checks for waiting items while jobs are open and no event wakes the runner.
+_POLL_PERIOD_S = 0.05
+# How long an engine may send nothing, before and after its first event, until an item is moved.
 _FIRST_EVENT_S = 1.0
 _STALL_S = 0.6
-# An item on a route without a retention is given up after so long.
+# Age at which an item is terminated if its route sets no retention period.
 _DEFAULT_RETENTION_S = 3600.0
-# Moves of one item to faster engines.
+# Maximum number of moves of one item to faster engines.
 _MAX_MOVES = 3
 
 
@@ -51,16 +51,16 @@
 
     Args:
         owner: This daemon's incarnation.
-        journal: The lasting record.
-        book: Every job that is known.
-        directory: The engines.
-        port: Sends to engines.
-        routes: The routes in force, None while there are none.
-        newest_version: The newest named version of a model.
-        current_engines: The engines of a service that are kept current for a model.
-        loads_soon: Whether an engine is about to load newer weights of a model.
-        store_ms: The store's clock.
-        timings: Takes in how long items and groups take.
+        journal: Persistent record of jobs.
+        book: Known jobs.
+        directory: Known engines.
+        port: Sends requests to engines.
+        routes: Returns the current routes, None while there are none.
+        newest_version: Returns the newest published version of a model.
+        current_engines: Returns the engines of a service that load every new version of a model.
+        loads_soon: Returns whether an engine is about to load newer weights of a model.
+        store_ms: Returns the store's time.
+        timings: Records durations for the metrics.
         clock: Time source.
     """
 
@@ -99,7 +99,7 @@
         )
         self._text_writer = PartialTextWriter(journal, clock)
         self._loader = JobLoader(journal, clock)
-        self._lister = ResultLister(journal, book, clock, self._drop, self._listed)
+        self._lister = ResultLister(journal, book, clock, self._drop, self._record_listing)
         self._unfinished_work = UnfinishedWork()
         self.counts = RunnerCounts()
         self._outcomes = OutcomeHandler(self._engines, newest_version, self._unfinished_work, clock)
@@ -110,16 +110,16 @@
 
     @property
     def results_listed(self) -> int:
-        """How many results this daemon has listed."""
+        """Number of results that this daemon has listed."""
         return self._lister.listed
 
     @property
     def busy(self) -> bool:
-        """Whether this daemon owns open jobs."""
+        """Whether this daemon runs or loads any job."""
         return bool(self.jobs or self._loading)
 
     def owns(self, job_id: str) -> bool:
-        """Return whether the job is run here."""
+        """Return whether this daemon runs or loads the job."""
         return job_id in self.jobs or job_id in self._loading
 
     async def run(self) -> None:
@@ -128,19 +128,19 @@
             self._list_results()
             self._start_items()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_LOOK_S if self.jobs else 1.0):
+                async with asyncio.timeout(_POLL_PERIOD_S if self.jobs else 1.0):
                     await self._wake.wait()
             self._wake.clear()
 
-    def take(self, stored: StoredJob, *, fresh: bool = False) -> None:
-        """Begin to run a job that this daemon has come to own; a *fresh* one has no results."""
+    def start_job(self, stored: StoredJob, *, fresh: bool = False) -> None:
+        """Start running a job that this daemon owns; a *fresh* job has no stored results."""
         if self.owns(stored.record.job_id) or self.stopping:
             return
         self._loading.add(stored.record.job_id)
         self._spawn(self._load(stored, fresh))
 
     async def hand_over(self, timeout_s: float) -> None:
-        """Stop every run and give the jobs up, so that other daemons go on with them."""
+        """Stop all runs and release the jobs, so that other daemons can continue them."""
         self.stopping = True
         jobs = list(self.jobs.values())
         for job in jobs:
@@ -149,19 +149,19 @@
                     work.task.cancel()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                await asyncio.gather(*(self._hand_over(job) for job in jobs))
+                await asyncio.gather(*(self._hand_over_job(job) for job in jobs))
 
     def abandon(self) -> None:
-        """Stop at once."""
+        """Stop immediately, without releasing the jobs in the store."""
         for job in list(self.jobs.values()):
             self._drop(job, "the daemon stops")
         for task in self._tasks:
             task.cancel()
 
-    # Jobs that come and go.
+    # Starting and releasing jobs.
 
     async def _load(self, stored: StoredJob, fresh: bool) -> None:
-        """Read what a job needs and begin its work."""
+        """Load a job and make its items available to run."""
         record = stored.record
         job_id = record.job_id
         try:
@@ -201,7 +201,7 @@
         self._wake.set()
 
     def _job_changed(self, stored: StoredJob) -> None:
-        """Stop a job that has ended or has another owner."""
+        """Update a job's record, and stop the job if it is closed or has another owner."""
         record = stored.record
         job = self.jobs.get(record.job_id)
         if job is None or stored.version <= job.stored.version:
@@ -227,7 +227,7 @@
         self._unfinished_work.add(job.unfinished.values())
         job.cancel()
 
-    async def _hand_over(self, job: OwnedJob) -> None:
+    async def _hand_over_job(self, job: OwnedJob) -> None:
         while job.job_id in self.jobs and (job.finished or job.commit_task is not None):
             if job.commit_task is None:
                 job.commit_task = self._spawn(self._commit(job))
@@ -239,14 +239,14 @@
         if job.unconfirmed_texts:
             await self._text_writer.write(job)
         await self._text_writer.write(job, min_new_events=1)
-        free = msgspec.structs.replace(job.stored.record, owner="")
+        released = msgspec.structs.replace(job.stored.record, owner="")
         try:
-            self._book.learn(await self._journal.update(job.stored, free, _HAND_OVER_TIMEOUT_S))
+            self._book.put(await self._journal.update(job.stored, released, _HAND_OVER_TIMEOUT_S))
         except (RowConflict, StoreUnavailable) as error:
             self._log.warning("job_not_handed_over", job_id=job.job_id, reason=error.message)
             self._drop(job, "the daemon stops")
 
-    # Items.
+    # Running items.
 
     def _start_items(self) -> None:
         table = self._routes()
@@ -275,11 +275,11 @@
         return job.stored.record.submitted_ms + (route.result_deadline_s * 1000 if route else 0.0)
 
     def _start(self, table: RouteTable, job: OwnedJob, work: ItemWork, now_s: float) -> bool:
-        """Start an item, or terminate it; return False when no engine has room for it."""
+        """Start or terminate an item, or return False if no engine has a free slot for it."""
         record = job.stored.record
         route = table.match(job.submission.host, work.item.path.partition("?")[0])
         if route is None:
-            self._outcomes.terminate(job, work, "its route is gone")
+            self._outcomes.terminate(job, work, "its route was removed")
             return True
         age_s = self._age_s(job)
         remaining_s = route.retention_s - age_s if route.retention_s else _DEFAULT_RETENTION_S
@@ -300,7 +300,7 @@
         if not work.was_started:
             work.was_started = True
             self._timings.observe(Timing.ITEM_WAIT, age_s)
-        # Counted at once, so that the next item of this look sees the load.
+        # Count the run now, so that the choice for the next item takes its load into account.
         backend.begin()
         work.task.add_done_callback(lambda _: backend.end())
         return True
@@ -317,19 +317,19 @@
     ) -> None:
         record = job.stored.record
         started_s = self._clock.monotonic_s()
-        resumed, events_before = work.partial.last_event, len(work.partial.events)
-        expect = None
+        resumed_from, events_before = work.partial.last_event, len(work.partial.events)
+        expected_version = None
         if choice.probing:
-            expect = self._newest_version(record.model)
+            expected_version = self._newest_version(record.model)
         elif route.single_version and work.partial.versions:
-            expect = next(iter(work.partial.versions))
+            expected_version = next(iter(work.partial.versions))
         limits = RunLimits(
             remaining_s=remaining_s,
             first_event_s=_FIRST_EVENT_S,
             stall_s=_STALL_S,
             min_version=record.min_version,
             single_version=route.single_version,
-            expect_version=expect,
+            expect_version=expected_version,
         )
         others = [name for name in engines if name != backend.instance.instance_id]
         try:
@@ -360,7 +360,7 @@
             choice=choice.reason,
             end=outcome.end.value,
             detail=outcome.detail,
-            resumed_after=resumed,
+            resumed_after=resumed_from,
             events=len(work.partial.events),
             versions=sorted(work.partial.versions),
             took_s=round(self._clock.monotonic_s() - started_s, 3),
@@ -370,7 +370,7 @@
             self._outcomes.handle(job, work, route, backend, choice, outcome, events_before)
 
     def _engine_accepted(self, backend: Backend) -> None:
-        """Let items that wait for an engine go there once it accepts again."""
+        """Wake the runner when an engine accepts items again after a refusal."""
         if self._engines.record_acceptance(backend.instance.instance_id):
             self._wake.set()
 
@@ -383,8 +383,8 @@
             if self._text_writer.is_due(job):
                 job.write_task = self._spawn(self._text_writer.write(job))
 
-    def _listed(self, job: OwnedJob, results: Sequence[ItemResult]) -> None:
-        """Measure what has just been listed."""
+    def _record_listing(self, job: OwnedJob, results: Sequence[ItemResult]) -> None:
+        """Record metrics for newly listed results."""
         now_s = self._clock.monotonic_s()
         self._timings.observe(Timing.RESULT_LISTING, max(0.0, now_s - job.finished_since_s))
         table = self._routes()
@@ -405,10 +405,10 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self._log.error("batch_task_failed", exc_info=error)
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -1,4 +1,4 @@
-"""What callers ask of batch jobs: submit, read results, read a body, end."""
+"""Operations on batch jobs for callers: submit, read results, read an item's body, end."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -16,30 +16,39 @@
 
 __all__ = ["BatchJobs"]
 
-# How long the store may take for one call of a reader.
+# Timeout of a store call made on behalf of a caller.
 _READ_TIMEOUT_S = 2.0
-# A reader that waits for a result looks this often.
+# Polling interval while a caller waits for results.
 _POLL_S = 0.2
-# Shorter waits are over already.
-_LEAST_WAIT_S = 0.001
+# A shorter remaining wait is treated as expired.
+_MIN_WAIT_S = 0.001
 _RETRY_S = 0.5
-# Submissions that are kept decoded for reads of bodies, and their size.
-_MAX_KEPT_JOBS = 8
+# Number of decoded submissions that are cached to serve item bodies.
+_MAX_CACHED_SUBMISSIONS = 8
 
 
 class BatchJobs:
-    """Answers callers; any daemon answers for any job.
+    """Serves callers; every daemon can serve requests for every job.
 
     Args:
-        journal: The lasting record.
-        book: Every job that is known.
-        runner: Runs the jobs that are placed here.
-        beats: Who else may run jobs.
-        store_ms: The store's clock.
+        journal: Persistent record of jobs.
+        book: Known jobs.
+        runner: Runs the jobs that are placed on this daemon.
+        beats: Heartbeats of the daemons that may run jobs.
+        store_ms: Returns the store's time.
         clock: Time source.
     """
 
-    __slots__ = ("_beats", "_book", "_clock", "_journal", "_kept", "_log", "_runner", "_store_ms")
+    __slots__ = (
+        "_beats",
+        "_book",
+        "_clock",
+        "_journal",
+        "_log",
+        "_runner",
+        "_store_ms",
+        "_submissions",
+    )
 
     def __init__(
         self,
@@ -56,24 +65,25 @@
         self._runner = runner
         self._store_ms = store_ms
         self._clock = clock
-        self._kept: OrderedDict[str, BatchSubmission] = OrderedDict()
+        self._submissions: OrderedDict[str, BatchSubmission] = OrderedDict()
         self._log = structlog.get_logger("batches")
 
     async def submit(self, submission: BatchSubmission, deadline_s: float) -> None:
-        """Accept a job durably; a repeat of an accepted one changes nothing.
+        """Accept a job durably; submitting an accepted job again has no effect.
 
         Args:
             submission: The job.
             deadline_s: Monotonic time until which the caller waits.
 
         Raises:
-            StoreUnavailable: It was not accepted; its outcome says whether it may still be.
+            StoreUnavailable: The job was not confirmed; the error's outcome tells whether it may
+                have been recorded.
         """
         job_id = submission.job_id
         if self._book.get(job_id) is not None:
             self._log.info("job_repeated", job_id=job_id)
             return
-        place = place_job(
+        placement = place_job(
             f"{submission.host}/{submission.model}",
             self._runner.owner,
             [beat.owner_id for beat in self._beats.neighbours()],
@@ -89,7 +99,7 @@
             min_version=submission.min_version,
             total=len(submission.items),
             submitted_ms=self._store_ms(),
-            owner=place.owner_id,
+            owner=placement.owner_id,
             epoch=1,
         )
         started_s = self._clock.monotonic_s()
@@ -106,9 +116,9 @@
             error.outcome = Outcome.MAY_HAVE_RUN if error.effect_possible else Outcome.NOT_RUN
             error.retry_after_s = _RETRY_S
             raise
-        self._accepted(submission, stored, started_s, place.reason)
+        self._job_accepted(submission, stored, started_s, placement.reason)
 
-    def _accepted(
+    def _job_accepted(
         self, submission: BatchSubmission, stored: StoredJob, started_s: float, reason: str
     ) -> None:
         self._log.info(
@@ -123,26 +133,26 @@
             desired_groups=submission.desired_groups,
             took_s=round(self._clock.monotonic_s() - started_s, 3),
         )
-        self._keep(submission)
-        self._book.learn(stored)
+        self._cache_submission(submission)
+        self._book.put(stored)
         if stored.record.owner == self._runner.owner and stored.record.state is JobState.OPEN:
-            self._runner.take(stored, fresh=stored.record.epoch == 1)
+            self._runner.start_job(stored, fresh=stored.record.epoch == 1)
 
     async def results(self, job_id: str, after: int, wait_s: float) -> ResultsPage:
-        """Return results from a position on, waiting for a first one.
+        """Return results from a position on, waiting up to *wait_s* for the first one.
 
         Raises:
             UnknownResource: There is no such job.
             StoreUnavailable: The store did not answer.
         """
         ends_at_s = self._clock.monotonic_s() + wait_s
-        total = await self._total(job_id)
+        total = await self._item_count(job_id)
         while True:
             found = await self._journal.results(job_id, after, _READ_TIMEOUT_S)
-            left_s = ends_at_s - self._clock.monotonic_s()
-            if found or after >= total or left_s <= _LEAST_WAIT_S:
+            remaining_s = ends_at_s - self._clock.monotonic_s()
+            if found or after >= total or remaining_s <= _MIN_WAIT_S:
                 return ResultsPage(total=total, results=found)
-            await self._clock.sleep(min(_POLL_S, left_s))
+            await self._clock.sleep(min(_POLL_S, remaining_s))
 
     async def body(self, job_id: str, item_id: str) -> bytes:
         """Return the body of an item.
@@ -151,18 +161,18 @@
             UnknownResource: There is no such job or item.
             StoreUnavailable: The store did not answer.
         """
-        await self._total(job_id)
-        submission = self._kept.get(job_id)
+        await self._item_count(job_id)
+        submission = self._submissions.get(job_id)
         if submission is None:
             submission = await self._journal.submission(job_id, _READ_TIMEOUT_S)
-            self._keep(submission)
+            self._cache_submission(submission)
         for item in submission.items:
             if item.item_id == item_id:
                 return item.body
         raise UnknownResource(f"job {job_id} has no item {item_id}")
 
     async def end(self, job_id: str) -> None:
-        """End a job; ending it again changes nothing.
+        """End a job; ending it again has no effect.
 
         Raises:
             UnknownResource: There is no such job.
@@ -172,20 +182,20 @@
         if job is None:
             raise UnknownResource(f"there is no job {job_id}")
         self._log.info("job_ended", job_id=job_id, owner=job.record.owner, version=job.version)
-        self._book.learn(job)
+        self._book.put(job)
 
-    async def _total(self, job_id: str) -> int:
-        """Return how many items a job has."""
+    async def _item_count(self, job_id: str) -> int:
+        """Return the number of items of a job."""
         known = self._book.get(job_id)
         if known is not None:
             return known.record.total
         job = await self._journal.job(job_id, _READ_TIMEOUT_S)
         if job is None:
             raise UnknownResource(f"there is no job {job_id}")
-        self._book.learn(job)
+        self._book.put(job)
         return job.record.total
 
-    def _keep(self, submission: BatchSubmission) -> None:
-        self._kept[submission.job_id] = submission
-        while len(self._kept) > _MAX_KEPT_JOBS:
-            self._kept.popitem(last=False)
+    def _cache_submission(self, submission: BatchSubmission) -> None:
+        self._submissions[submission.job_id] = submission
+        while len(self._submissions) > _MAX_CACHED_SUBMISSIONS:
+            self._submissions.popitem(last=False)
--- a/src/verbenawind/batches/sweeping.py
+++ b/src/verbenawind/batches/sweeping.py
@@ -1,4 +1,4 @@
-"""Removes jobs that nobody may ask for any more from the store."""
+"""Deletes jobs from the store after their retention period."""
 
 from collections.abc import Callable
 
@@ -12,21 +12,23 @@
 
 __all__ = ["JobSweeper"]
 
-_LOOK_S = 5.0
+_SWEEP_PERIOD_S = 5.0
 _TIMEOUT_S = 3.0
-# Jobs are kept for so long beyond the time for which they may be read.
-_MARGIN_S = 60.0
+# Jobs are deleted this long after the period in which callers may read them.
+_RETENTION_MARGIN_S = 60.0
 
 
 class JobSweeper:
-    """Sweeps closed jobs, each at the daemon that a rendezvous of the present ones names.
+    """Deletes expired closed jobs.
+
+    Rendezvous hashing over the live daemons assigns each job to one of them.
 
     Args:
-        book: Every job that is known.
-        journal: The lasting record.
-        is_mine: Whether this daemon sweeps a job.
-        store_ms: The store's clock.
-        keep_s: For how long a job may be read after its submission.
+        book: Known jobs.
+        journal: Persistent record of jobs.
+        is_mine: Returns whether a job is assigned to this daemon.
+        store_ms: Returns the store's time.
+        keep_s: How long a job may be read after its submission.
         clock: Time source.
     """
 
@@ -51,16 +53,18 @@
         self._log = structlog.get_logger("batches")
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Delete expired jobs until cancelled."""
         while True:
-            await self._clock.sleep(_LOOK_S)
+            await self._clock.sleep(_SWEEP_PERIOD_S)
             for known in self._book.closed_jobs():
-                if self._is_due(known) and self._is_mine(known.record.job_id):
+                if self._is_expired(known) and self._is_mine(known.record.job_id):
                     await self._sweep(known)
 
-    def _is_due(self, known: KnownJob) -> bool:
+    def _is_expired(self, known: KnownJob) -> bool:
         age_s = known.record.age_s(self._store_ms())
-        return known.record.state is not JobState.OPEN and age_s > self._keep_s + _MARGIN_S
+        return (
+            known.record.state is not JobState.OPEN and age_s > self._keep_s + _RETENTION_MARGIN_S
+        )
 
     async def _sweep(self, known: KnownJob) -> None:
         job_id = known.record.job_id
@@ -69,5 +73,5 @@
         except (RowConflict, StoreUnavailable) as error:
             self._log.info("job_not_swept", job_id=job_id, reason=error.message)
         else:
-            self._book.forget(job_id)
+            self._book.remove(job_id)
             self._log.info("job_swept", job_id=job_id, state=known.record.state.value)
--- a/src/verbenawind/batches/types.py
+++ b/src/verbenawind/batches/types.py
@@ -1,4 +1,4 @@
-"""Batch jobs: many items submitted at once, run later, and listed at fixed positions."""
+"""Types of batch jobs: items submitted together, run later, and listed at fixed positions."""
 
 from collections.abc import Sequence
 from enum import StrEnum
@@ -17,7 +17,7 @@
 
 
 class JobState(StrEnum):
-    """Where a job stands; only an open one is worked on."""
+    """The state of a job; only open jobs are run."""
 
     OPEN = "open"
     DONE = "done"
@@ -25,16 +25,16 @@
 
 
 class ResultState(StrEnum):
-    """How an item ended."""
+    """The final state of an item."""
 
     COMPLETED = "completed"
     TERMINATED = "terminated"
 
 
 class BatchItem(Value, frozen=True, kw_only=True):
-    """One request of a job; items of one group share their prompt.
+    """One request of a job; the items of a group share their prompt.
 
-    ``length_hint`` is the caller's guess of the output's tokens, 0 where there is none.
+    ``length_hint`` is the caller's estimate of the output length in tokens, 0 if not given.
     """
 
     item_id: str
@@ -47,7 +47,7 @@
 
 
 class BatchSubmission(Value, frozen=True, kw_only=True):
-    """A job as its caller submitted it; ``min_version`` bounds the weights of its tokens."""
+    """A job as submitted; no token may come from weights older than ``min_version``."""
 
     job_id: str
     host: str
@@ -60,10 +60,10 @@
 
 
 class JobRecord(Value, frozen=True, kw_only=True):
-    """A job's row: what all daemons know of it.
+    """A job's row in the store, which all daemons read.
 
-    ``owner`` is the daemon incarnation that runs the job, empty for none; ``epoch`` rises with
-    each owner. ``submitted_ms`` is the store's clock.
+    ``owner`` is the daemon incarnation that runs the job, empty if there is none. ``epoch``
+    increases with each new owner. ``submitted_ms`` is a time of the store's clock.
     """
 
     job_id: str
@@ -79,12 +79,12 @@
     state: JobState = JobState.OPEN
 
     def age_s(self, store_ms: int) -> float:
-        """Return how long ago the job was submitted, when the store's clock reads *store_ms*."""
+        """Return the time since submission, given the store's current time *store_ms*."""
         return (store_ms - self.submitted_ms) / 1000
 
 
 class ItemResult(Value, frozen=True, kw_only=True):
-    """A listed result; ``versions`` are the weights that made its events."""
+    """A listed result; ``versions`` are the weight versions that generated its events."""
 
     item_id: str
     state: ResultState
@@ -93,7 +93,7 @@
 
 
 class ResultsPage(Value, frozen=True, kw_only=True):
-    """Results from a position on, and how many items the job has."""
+    """Results from a position on, and the number of items of the job."""
 
     total: int
     results: Sequence[ItemResult]
