--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -1,4 +1,7 @@
-"""Tests of batch jobs over hosts, a row store and engines: whole, once and in place."""
+"""Tests of batch jobs on simulated hosts, a row store and engines.
+
+Every item must be listed exactly once, complete, and at a fixed position.
+"""
 
 import pytest
 
@@ -7,9 +10,9 @@
 from verbenawind.errors import Outcome, StoreUnavailable, UnknownResource
 
 
-class TestCalmJobs:
-    def test_every_item_is_listed_whole(self) -> None:
-        """A job's items are listed once each, with their whole text and the weights' version."""
+class TestJobsWithoutFaults:
+    def test_every_item_is_listed_complete(self) -> None:
+        """Each item is listed once, with its complete text and weight version."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -23,7 +26,7 @@
         run_fleet(work)
 
     def test_repeated_submission_changes_nothing(self) -> None:
-        """A job that comes again at another host is the same job, also once it is done."""
+        """Submitting a job again on another host has no effect, even after it is done."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -38,8 +41,8 @@
 
         run_fleet(work)
 
-    def test_positions_stay(self) -> None:
-        """A position holds one result, at every host and from every position that is asked for."""
+    def test_positions_are_stable(self) -> None:
+        """A position holds the same result on every host, wherever a page starts."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -54,8 +57,8 @@
 
         run_fleet(work)
 
-    def test_bodies_are_given_back(self) -> None:
-        """Any host returns an item's body; an unknown job or item is known to be unknown."""
+    def test_bodies_are_returned(self) -> None:
+        """Any host returns an item's body, and raises UnknownResource for unknown jobs or items."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -73,8 +76,8 @@
 
         run_fleet(work)
 
-    def test_ended_job_runs_no_more(self) -> None:
-        """After its end a job starts nothing; what was listed stays, and ending again is fine."""
+    def test_ended_job_stops_running(self) -> None:
+        """An ended job starts no items and keeps its results; ending it again has no effect."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -95,7 +98,7 @@
         run_fleet(work)
 
     def test_done_job_is_closed(self) -> None:
-        """A job whose items are all listed is no open job any more."""
+        """A job whose items are all listed is no longer open."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -112,7 +115,7 @@
 
 class TestItemsThatFail:
     def test_impossible_item_is_terminated_at_once(self) -> None:
-        """An item that an engine can never run is listed as terminated and not run again."""
+        """An item that an engine rejects as impossible is listed as terminated, without a retry."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -129,8 +132,8 @@
 
         run_fleet(work)
 
-    def test_item_that_always_fails_is_given_up_after_the_route_s_attempts(self) -> None:
-        """An item that every engine fails is tried as often as its route says."""
+    def test_item_that_always_fails_is_terminated_after_the_route_s_attempts(self) -> None:
+        """An item that fails on every engine is run max_attempts times."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(max_attempts=3)
@@ -147,7 +150,7 @@
         run_fleet(work)
 
     def test_items_of_a_removed_route_are_terminated(self) -> None:
-        """Without their route the items that remain are listed as terminated."""
+        """When a route is removed, the remaining items are listed as terminated."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -161,8 +164,8 @@
 
         run_fleet(work)
 
-    def test_old_items_are_given_up(self) -> None:
-        """Items that are older than the route's retention are listed as terminated."""
+    def test_expired_items_are_terminated(self) -> None:
+        """Items older than the route's retention period are listed as terminated."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(retention_s=3.0)
@@ -181,7 +184,7 @@
 
 class TestEngineFaults:
     def test_broken_streams_are_resumed_where_they_broke(self) -> None:
-        """A stream that breaks goes on at another engine after its last whole event."""
+        """A broken stream is resumed on another engine after its last complete event."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -195,8 +198,8 @@
 
         run_fleet(work)
 
-    def test_dark_engine_delays_a_job_by_little(self) -> None:
-        """Items at an engine that falls silent go on elsewhere within about a second."""
+    def test_unresponsive_engine_delays_a_job_only_briefly(self) -> None:
+        """Items on an engine that stops responding move to another within about a second."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -212,7 +215,7 @@
         run_fleet(work)
 
     def test_run_moves_from_a_slow_engine(self) -> None:
-        """Runs at an engine that turns slow go on at one with its usual pace."""
+        """Runs on an engine that becomes slow move to one with the usual pace."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=3)
@@ -223,13 +226,13 @@
             fleet.engines.engines["engine-0"].pace_s = 0.3
             check_whole(submission, await fleet.collect(first, submission))
             assert first.node.runner.counts.moved > 0
-            # 60 events at the usual 0.03 s take 1.8 s, at the slow engine 18 s.
+            # 60 events take 1.8 s at the usual 0.03 s per event, and 18 s on the slow engine.
             assert fleet.clock.monotonic_s() < 8.0
 
         run_fleet(work)
 
-    def test_leaving_engine_gets_no_new_items(self) -> None:
-        """An engine whose entry is gone is given nothing new once the feed has said so."""
+    def test_unregistered_engine_gets_no_new_items(self) -> None:
+        """An engine gets no new items once the feed has reported the removal of its entry."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -246,7 +249,7 @@
 
 class TestOwners:
     def test_job_of_a_killed_host_is_finished_by_another(self) -> None:
-        """Within seconds of its owner's death a job goes on; its listed results stay."""
+        """A job continues within seconds after its owner is killed, and its results stay listed."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=4)
@@ -267,7 +270,7 @@
         run_fleet(work)
 
     def test_stopping_host_hands_its_jobs_over(self) -> None:
-        """A host that stops in good order loses no time: another goes on within half a second."""
+        """After an orderly stop another host owns the job within 2 s."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -287,8 +290,8 @@
 
         run_fleet(work)
 
-    def test_former_owner_can_list_nothing(self) -> None:
-        """A host that was cut off from the store and replaced lists nothing on its return."""
+    def test_former_owner_cannot_list_results(self) -> None:
+        """A host that was partitioned from the store and replaced lists nothing on its return."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -309,7 +312,7 @@
         run_fleet(work)
 
     def test_all_hosts_killed_and_started_again_finish_the_job(self) -> None:
-        """After the loss of every process new ones find the job and finish it."""
+        """After all processes are killed, new ones find the job in the store and finish it."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -331,7 +334,10 @@
 
 class TestStoreFaults:
     def test_lost_and_late_answers_list_nothing_twice(self) -> None:
-        """With a third of the writes unanswered or carried out late, positions hold one result."""
+        """Each position holds one result although store answers are lost and writes are delayed.
+
+        30 % of the answers are lost and 20 % of the writes take effect late.
+        """
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -348,8 +354,8 @@
         for seed in range(6):
             run_fleet(work, seed=seed)
 
-    def test_job_goes_on_through_an_outage(self) -> None:
-        """Items run while the store is away, and are listed when it is back."""
+    def test_job_continues_during_an_outage(self) -> None:
+        """Items run while the store is unavailable, and are listed when it recovers."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -366,8 +372,8 @@
 
         run_fleet(work)
 
-    def test_listing_whose_answer_the_outage_took_costs_no_run(self) -> None:
-        """Results that were listed as the store went away are known to be; runs go on."""
+    def test_listing_with_an_answer_lost_in_an_outage_repeats_no_run(self) -> None:
+        """No item runs again if results are listed but the outage loses the store's answer."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -387,8 +393,8 @@
 
         run_fleet(work)
 
-    def test_submission_during_an_outage_is_refused_truly(self) -> None:
-        """A job that the store never took is refused as not run, and never runs."""
+    def test_submission_during_an_outage_is_reported_as_not_run(self) -> None:
+        """A submission that never reached the store is rejected as not run, and never runs."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -407,8 +413,8 @@
 
         run_fleet(work)
 
-    def test_history_lost_is_read_anew(self) -> None:
-        """A host whose feed lost its history still learns of jobs and versions."""
+    def test_state_is_reloaded_after_a_loss_of_history(self) -> None:
+        """A host still receives jobs and versions if the store has lost the feed's history."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -427,7 +433,7 @@
 
 class TestSpreading:
     def test_items_that_start_together_spread_over_the_engines(self) -> None:
-        """Items that start in one look are spread evenly over the engines."""
+        """Items that start together are distributed evenly over the engines."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=4)
@@ -443,7 +449,7 @@
 
 class TestStoppingHost:
     def test_results_that_are_being_listed_at_the_stop_are_listed_once(self) -> None:
-        """A stop in the middle of listing results lists none of them at two positions."""
+        """A stop during a listing transaction lists no result at two positions."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=4)
@@ -453,7 +459,7 @@
             owner = fleet.members[await fleet.owner_of(submission.job_id)]
             runner = owner.node.runner
             fleet.store.faults.slow_s = 0.2
-            # A transaction is under way, and more items have ended since it began.
+            # A transaction is in progress, and more items have finished since it started.
             await fleet.until(
                 lambda: any(j.commit_task and len(j.finished) > 8 for j in runner.jobs.values())
             )
@@ -465,7 +471,7 @@
         run_fleet(work)
 
     def test_job_accepted_while_stopping_is_run_by_another(self) -> None:
-        """A job that reaches a host which is about to end belongs to nobody until one claims it."""
+        """A job accepted by a stopping host has no owner until another host claims it."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -482,8 +488,8 @@
 
 
 class TestKeptTexts:
-    def test_next_owner_goes_on_with_long_texts(self) -> None:
-        """After the loss of a job's owner its long runs go on close to where they were."""
+    def test_next_owner_resumes_long_texts(self) -> None:
+        """After its owner is killed, the long items of a job resume close to where they were."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=3)
@@ -506,10 +512,11 @@
         run_fleet(work)
 
     @pytest.mark.parametrize("lost_answers", [0.0, 1.0])
-    def test_power_that_fails_after_an_outage_costs_little(self, lost_answers: float) -> None:
-        """The store is away for 5 s, and 0.6 s after its return every host is lost: texts are kept.
+    def test_loss_of_all_hosts_after_an_outage_loses_little_text(self, lost_answers: float) -> None:
+        """Texts are persisted soon after an outage of the store.
 
-        Answers of the store may be lost as it goes away.
+        The store is unavailable for 5 s, and all hosts are killed 0.6 s after it recovers. With
+        *lost_answers*, its answers are also lost before the outage.
         """
 
         async def work(fleet: Fleet) -> None:
@@ -527,7 +534,6 @@
             await fleet.clock.sleep(0.6)
             for name in list(fleet.members):
                 fleet.kill(name)
-            # Of some 270 events that each run has made by now.
             for name in ("host-0", "host-1", "host-2"):
                 fleet.add_host(name)
             host = fleet.members["host-0"]
@@ -540,12 +546,13 @@
                 if after is not None
             ]
             assert len(resumed) >= len(submission.items)
+            # Each run had produced some 270 events when the hosts were killed.
             assert min(resumed) >= 200
 
         run_fleet(work)
 
-    def test_stop_in_good_order_loses_no_event(self) -> None:
-        """At a stop every event of texts that are worth it is kept, up to the last one."""
+    def test_orderly_stop_loses_no_event(self) -> None:
+        """An orderly stop persists every event of texts that are long enough to be persisted."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2, engines=2)
@@ -569,8 +576,8 @@
 
         run_fleet(work)
 
-    def test_lost_answers_and_late_writes_spoil_no_text(self) -> None:
-        """With writes unanswered or carried out late, texts after a takeover are still whole."""
+    def test_lost_answers_and_late_writes_corrupt_no_text(self) -> None:
+        """Texts are complete after a takeover although answers are lost and writes are delayed."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=3)
@@ -589,8 +596,8 @@
 
 
 class TestSweeping:
-    def test_closed_jobs_are_removed_once_nobody_may_read_them(self) -> None:
-        """A done job is readable for its time; after it nothing of the job is in the store."""
+    def test_closed_jobs_are_deleted_after_their_retention_period(self) -> None:
+        """A done job is readable for its retention period and then deleted from the store."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -609,8 +616,8 @@
 
         run_fleet(work)
 
-    def test_open_jobs_stay(self) -> None:
-        """A job that is still worked on is not removed, however old it is."""
+    def test_open_jobs_are_not_deleted(self) -> None:
+        """An open job is not deleted, however old it is."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2, retention_s=1000.0)
