--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -1,12 +1,12 @@
 """Batch jobs: accepted once, run on any engine with a free slot, listed at fixed positions."""
 
 from verbenawind.batches.book import JobBook
-from verbenawind.batches.doubts import OwnerDoubts, PeerAnswer, PeerProbe
 from verbenawind.batches.journal import JOBS_TABLE, JobJournal, StoredJob
-from verbenawind.batches.keeper import JobKeeper
+from verbenawind.batches.owner_monitor import OwnerDoubts, PeerAnswer, PeerProbe
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
 from verbenawind.batches.sweeping import JobSweeper
+from verbenawind.batches.takeover import JobKeeper
 from verbenawind.batches.types import (
     BatchItem,
     BatchSubmission,
--- a/src/verbenawind/batches/listing.py
+++ b/src/verbenawind/batches/listing.py
@@ -34,7 +34,7 @@
         on_listed: Called with the results of each transaction.
     """
 
-    __slots__ = ("_book", "_clock", "_drop", "_journal", "_log", "_on_listed", "listed")
+    __slots__ = ("_clock", "_drop", "_job_registry", "_job_store", "_log", "_on_listed", "listed")
 
     def __init__(
         self,
@@ -44,8 +44,8 @@
         drop: Callable[[OwnedJob, str], None],
         on_listed: Callable[[OwnedJob, Sequence[ItemResult]], None],
     ) -> None:
-        self._journal = journal
-        self._book = book
+        self._job_store = journal
+        self._job_registry = book
         self._clock = clock
         self._drop = drop
         self._on_listed = on_listed
@@ -79,7 +79,7 @@
         repeated = False
         while True:
             try:
-                tail = await self._journal.append(
+                tail = await self._job_store.append(
                     job.stored, job.tail, batch, _COMMIT_TIMEOUT_S, repeated=repeated
                 )
                 break
@@ -104,7 +104,9 @@
         """Mark a job whose results are all listed as done."""
         done = msgspec.structs.replace(job.stored.record, state=JobState.DONE)
         try:
-            self._book.put(await self._journal.update(job.stored, done, _COMMIT_TIMEOUT_S))
+            self._job_registry.put(
+                await self._job_store.update(job.stored, done, _COMMIT_TIMEOUT_S)
+            )
         except StoreUnavailable as error:
             self._log.warning("job_not_closed", job_id=job.job_id, reason=error.message)
             await self._clock.sleep(_RETRY_S)
@@ -113,7 +115,7 @@
         """Read a job again after a conflict, and drop it or update its record."""
         self._log.warning("job_conflict", job_id=job.job_id, reason=conflict.message)
         try:
-            stored = await self._journal.job(job.job_id, _READ_TIMEOUT_S)
+            stored = await self._job_store.job(job.job_id, _READ_TIMEOUT_S)
         except StoreUnavailable as error:
             self._log.warning("job_not_read", job_id=job.job_id, reason=error.message)
             return
@@ -124,4 +126,4 @@
             # takeover loop loads it again together with these results.
             self._drop(job, "the store has other results than expected")
         else:
-            self._book.put(stored)
+            self._job_registry.put(stored)
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -41,10 +41,10 @@
         clock: Time source.
     """
 
-    __slots__ = ("_clock", "_journal", "_log")
+    __slots__ = ("_clock", "_job_store", "_log")
 
     def __init__(self, journal: JobJournal, clock: Clock) -> None:
-        self._journal = journal
+        self._job_store = journal
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
@@ -61,10 +61,10 @@
 
     async def _load(self, stored: StoredJob, fresh: bool) -> LoadedJob:
         job_id = stored.record.job_id
-        submission = await self._journal.submission(job_id, _READ_TIMEOUT_S)
-        tail = Tail() if fresh else await self._journal.tail(job_id, _READ_TIMEOUT_S)
+        submission = await self._job_store.submission(job_id, _READ_TIMEOUT_S)
+        tail = Tail() if fresh else await self._job_store.tail(job_id, _READ_TIMEOUT_S)
         listed = await self._listed_item_ids(job_id, tail.listed)
-        kept = [] if fresh else await self._journal.kept_texts(job_id, _READ_TIMEOUT_S)
+        kept = [] if fresh else await self._job_store.kept_texts(job_id, _READ_TIMEOUT_S)
         return LoadedJob(
             submission=submission,
             tail=tail,
@@ -76,7 +76,7 @@
         """Return the ids of the listed items, in order."""
         listed: list[str] = []
         while len(listed) < count:
-            found = await self._journal.results(job_id, len(listed), _READ_TIMEOUT_S)
+            found = await self._job_store.results(job_id, len(listed), _READ_TIMEOUT_S)
             if not found:
                 raise StoreUnavailable(
                     f"job {job_id}: only {len(listed)} of {count} results are stored",
--- a/src/verbenawind/batches/partial_texts.py
+++ b/src/verbenawind/batches/partial_texts.py
@@ -29,10 +29,10 @@
         clock: Time source.
     """
 
-    __slots__ = ("_clock", "_journal", "_log")
+    __slots__ = ("_clock", "_job_store", "_log")
 
     def __init__(self, journal: JobJournal, clock: Clock) -> None:
-        self._journal = journal
+        self._job_store = journal
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
@@ -60,7 +60,7 @@
         try:
             if not texts:
                 return
-            count = await self._journal.keep_texts(
+            count = await self._job_store.keep_texts(
                 job.stored,
                 [text for _, text in texts],
                 _WRITE_TIMEOUT_S,
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -81,8 +81,8 @@
         clock: Clock,
     ) -> None:
         self.owner = owner
-        self._journal = journal
-        self._book = book
+        self._job_store = journal
+        self._job_registry = book
         self._directory = directory
         self._port = port
         self._routes = routes
@@ -98,8 +98,8 @@
             directory, newest_version, current_engines, loads_soon, clock
         )
         self._text_writer = PartialTextWriter(journal, clock)
-        self._loader = JobLoader(journal, clock)
-        self._lister = ResultLister(journal, book, clock, self._drop, self._record_listing)
+        self._job_loader = JobLoader(journal, clock)
+        self._result_lister = ResultLister(journal, book, clock, self._drop, self._record_listing)
         self._unfinished_work = UnfinishedWork()
         self.counts = RunnerCounts()
         self._outcomes = OutcomeHandler(self._engines, newest_version, self._unfinished_work, clock)
@@ -111,7 +111,7 @@
     @property
     def results_listed(self) -> int:
         """Number of results that this daemon has listed."""
-        return self._lister.listed
+        return self._result_lister.listed
 
     @property
     def busy(self) -> bool:
@@ -137,7 +137,7 @@
         if self.owns(stored.record.job_id) or self.stopping:
             return
         self._loading.add(stored.record.job_id)
-        self._spawn(self._load(stored, fresh))
+        self._create_task(self._load(stored, fresh))
 
     async def hand_over(self, timeout_s: float) -> None:
         """Stop all runs and release the jobs, so that other daemons can continue them."""
@@ -165,10 +165,10 @@
         record = stored.record
         job_id = record.job_id
         try:
-            loaded = await self._loader.load(stored, fresh=fresh)
+            loaded = await self._job_loader.load(stored, fresh=fresh)
         finally:
             self._loading.discard(job_id)
-        known = self._book.get(job_id)
+        known = self._job_registry.get(job_id)
         if known is not None and known.job.version > stored.version:
             stored = known.job
         if stored.record.owner != self.owner or stored.record.state is not JobState.OPEN:
@@ -230,7 +230,7 @@
     async def _hand_over_job(self, job: OwnedJob) -> None:
         while job.job_id in self.jobs and (job.finished or job.commit_task is not None):
             if job.commit_task is None:
-                job.commit_task = self._spawn(self._commit(job))
+                job.commit_task = self._create_task(self._commit(job))
             await asyncio.wait({job.commit_task})
         if job.job_id not in self.jobs:
             return
@@ -241,7 +241,9 @@
         await self._text_writer.write(job, min_new_events=1)
         released = msgspec.structs.replace(job.stored.record, owner="")
         try:
-            self._book.put(await self._journal.update(job.stored, released, _HAND_OVER_TIMEOUT_S))
+            self._job_registry.put(
+                await self._job_store.update(job.stored, released, _HAND_OVER_TIMEOUT_S)
+            )
         except (RowConflict, StoreUnavailable) as error:
             self._log.warning("job_not_handed_over", job_id=job.job_id, reason=error.message)
             self._drop(job, "the daemon stops")
@@ -253,22 +255,22 @@
         if table is None or self.stopping:
             return
         now_s = self._clock.monotonic_s()
-        waiting: list[tuple[int, float, Rank, OwnedJob, ItemWork]] = []
+        candidates: list[tuple[int, float, Rank, OwnedJob, ItemWork]] = []
         for job in self.jobs.values():
             due_ms = self._due_ms(job, table)
-            waiting += [
+            candidates += [
                 (work.rank.awaited, due_ms, work.rank, job, work)
                 for work in job.waiting
                 if work.not_before_s <= now_s
             ]
-        waiting.sort(key=lambda entry: entry[:3])
-        full: set[tuple[str, int]] = set()
-        for _, _, _, job, work in waiting:
+        candidates.sort(key=lambda entry: entry[:3])
+        models_without_slots: set[tuple[str, int]] = set()
+        for _, _, _, job, work in candidates:
             record = job.stored.record
-            if (record.model, record.min_version) in full and not work.excluded:
+            if (record.model, record.min_version) in models_without_slots and not work.excluded:
                 continue
             if not self._start(table, job, work, now_s):
-                full.add((record.model, record.min_version))
+                models_without_slots.add((record.model, record.min_version))
 
     def _due_ms(self, job: OwnedJob, table: RouteTable) -> float:
         route = table.match(job.submission.host, job.submission.path)
@@ -294,7 +296,7 @@
         if choice is None:
             return False
         backend = engines[choice.instance_id]
-        work.task = self._spawn(
+        work.task = self._create_task(
             self._run_item(job, work, route, backend, choice, remaining_s, list(engines))
         )
         if not work.was_started:
@@ -378,10 +380,10 @@
         if self.stopping:
             return
         for job in list(self.jobs.values()):
-            if self._lister.is_due(job):
-                job.commit_task = self._spawn(self._commit(job))
+            if self._result_lister.is_due(job):
+                job.commit_task = self._create_task(self._commit(job))
             if self._text_writer.is_due(job):
-                job.write_task = self._spawn(self._text_writer.write(job))
+                job.write_task = self._create_task(self._text_writer.write(job))
 
     def _record_listing(self, job: OwnedJob, results: Sequence[ItemResult]) -> None:
         """Record metrics for newly listed results."""
@@ -399,10 +401,10 @@
         return max(0.0, job.stored.record.age_s(self._store_ms()))
 
     async def _commit(self, job: OwnedJob) -> None:
-        await self._lister.commit(job)
+        await self._result_lister.commit(job)
         self._wake.set()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def _create_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._task_done)
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -41,9 +41,9 @@
 
     __slots__ = (
         "_beats",
-        "_book",
         "_clock",
-        "_journal",
+        "_job_registry",
+        "_job_store",
         "_log",
         "_runner",
         "_store_ms",
@@ -60,8 +60,8 @@
         clock: Clock,
     ) -> None:
         self._beats = beats
-        self._journal = journal
-        self._book = book
+        self._job_store = journal
+        self._job_registry = book
         self._runner = runner
         self._store_ms = store_ms
         self._clock = clock
@@ -80,7 +80,7 @@
                 have been recorded.
         """
         job_id = submission.job_id
-        if self._book.get(job_id) is not None:
+        if self._job_registry.get(job_id) is not None:
             self._log.info("job_repeated", job_id=job_id)
             return
         placement = place_job(
@@ -104,7 +104,7 @@
         )
         started_s = self._clock.monotonic_s()
         try:
-            stored = await self._journal.accept(submission, record, deadline_s - started_s)
+            stored = await self._job_store.accept(submission, record, deadline_s - started_s)
         except StoreUnavailable as error:
             self._log.warning(
                 "job_not_accepted",
@@ -134,7 +134,7 @@
             took_s=round(self._clock.monotonic_s() - started_s, 3),
         )
         self._cache_submission(submission)
-        self._book.put(stored)
+        self._job_registry.put(stored)
         if stored.record.owner == self._runner.owner and stored.record.state is JobState.OPEN:
             self._runner.start_job(stored, fresh=stored.record.epoch == 1)
 
@@ -148,7 +148,7 @@
         ends_at_s = self._clock.monotonic_s() + wait_s
         total = await self._item_count(job_id)
         while True:
-            found = await self._journal.results(job_id, after, _READ_TIMEOUT_S)
+            found = await self._job_store.results(job_id, after, _READ_TIMEOUT_S)
             remaining_s = ends_at_s - self._clock.monotonic_s()
             if found or after >= total or remaining_s <= _MIN_WAIT_S:
                 return ResultsPage(total=total, results=found)
@@ -164,7 +164,7 @@
         await self._item_count(job_id)
         submission = self._submissions.get(job_id)
         if submission is None:
-            submission = await self._journal.submission(job_id, _READ_TIMEOUT_S)
+            submission = await self._job_store.submission(job_id, _READ_TIMEOUT_S)
             self._cache_submission(submission)
         for item in submission.items:
             if item.item_id == item_id:
@@ -178,21 +178,21 @@
             UnknownResource: There is no such job.
             StoreUnavailable: The store did not answer; the job may have ended.
         """
-        job = await self._journal.end(job_id, _READ_TIMEOUT_S)
+        job = await self._job_store.end(job_id, _READ_TIMEOUT_S)
         if job is None:
             raise UnknownResource(f"there is no job {job_id}")
         self._log.info("job_ended", job_id=job_id, owner=job.record.owner, version=job.version)
-        self._book.put(job)
+        self._job_registry.put(job)
 
     async def _item_count(self, job_id: str) -> int:
         """Return the number of items of a job."""
-        known = self._book.get(job_id)
+        known = self._job_registry.get(job_id)
         if known is not None:
             return known.record.total
-        job = await self._journal.job(job_id, _READ_TIMEOUT_S)
+        job = await self._job_store.job(job_id, _READ_TIMEOUT_S)
         if job is None:
             raise UnknownResource(f"there is no job {job_id}")
-        self._book.put(job)
+        self._job_registry.put(job)
         return job.record.total
 
     def _cache_submission(self, submission: BatchSubmission) -> None:
--- a/src/verbenawind/batches/sweeping.py
+++ b/src/verbenawind/batches/sweeping.py
@@ -32,7 +32,15 @@
         clock: Time source.
     """
 
-    __slots__ = ("_book", "_clock", "_is_mine", "_journal", "_keep_s", "_log", "_store_ms")
+    __slots__ = (
+        "_clock",
+        "_is_mine",
+        "_job_registry",
+        "_job_store",
+        "_keep_s",
+        "_log",
+        "_store_ms",
+    )
 
     def __init__(
         self,
@@ -44,8 +52,8 @@
         keep_s: float,
         clock: Clock,
     ) -> None:
-        self._book = book
-        self._journal = journal
+        self._job_registry = book
+        self._job_store = journal
         self._is_mine = is_mine
         self._store_ms = store_ms
         self._keep_s = keep_s
@@ -56,7 +64,7 @@
         """Delete expired jobs until cancelled."""
         while True:
             await self._clock.sleep(_SWEEP_PERIOD_S)
-            for known in self._book.closed_jobs():
+            for known in self._job_registry.closed_jobs():
                 if self._is_expired(known) and self._is_mine(known.record.job_id):
                     await self._sweep(known)
 
@@ -69,9 +77,9 @@
     async def _sweep(self, known: KnownJob) -> None:
         job_id = known.record.job_id
         try:
-            await self._journal.remove(known.job, _TIMEOUT_S)
+            await self._job_store.remove(known.job, _TIMEOUT_S)
         except (RowConflict, StoreUnavailable) as error:
             self._log.info("job_not_swept", job_id=job_id, reason=error.message)
         else:
-            self._book.remove(job_id)
+            self._job_registry.remove(job_id)
             self._log.info("job_swept", job_id=job_id, state=known.record.state.value)
--- a/src/verbenawind/batches/keeper.py
+++ b/src/verbenawind/batches/takeover.py
@@ -6,8 +6,8 @@
 import structlog
 
 from verbenawind.batches.book import JobBook, KnownJob
-from verbenawind.batches.doubts import OwnerDoubts
 from verbenawind.batches.journal import JobJournal
+from verbenawind.batches.owner_monitor import OwnerDoubts
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.types import JobRecord
 from verbenawind.clock import Clock
@@ -41,18 +41,18 @@
         journal: Persistent record of jobs.
         runner: Runs claimed jobs.
         beats: Heartbeats of all daemons.
-        doubts: Decides whether owners have failed.
+        owner_monitor: Decides whether owners have failed.
         clock: Time source.
     """
 
     __slots__ = (
         "_beats",
-        "_book",
         "_clock",
-        "_doubts",
-        "_journal",
+        "_job_registry",
+        "_job_store",
         "_log",
-        "_orphan_since_s",
+        "_owner_monitor",
+        "_ownerless_since_s",
         "_runner",
         "paused",
         "takeovers",
@@ -64,16 +64,16 @@
         journal: JobJournal,
         runner: BatchRunner,
         beats: HostBeats,
-        doubts: OwnerDoubts,
+        owner_monitor: OwnerDoubts,
         clock: Clock,
     ) -> None:
-        self._book = book
-        self._journal = journal
+        self._job_registry = book
+        self._job_store = journal
         self._runner = runner
         self._beats = beats
-        self._doubts = doubts
+        self._owner_monitor = owner_monitor
         self._clock = clock
-        self._orphan_since_s: dict[str, float] = {}
+        self._ownerless_since_s: dict[str, float] = {}
         self._log = structlog.get_logger("batches")
         self.paused = False
         self.takeovers = 0
@@ -81,7 +81,7 @@
     async def run(self) -> None:
         """Claim jobs without a live owner until cancelled."""
         while True:
-            for known in self._book.open_jobs():
+            for known in self._job_registry.open_jobs():
                 if self.paused:
                     break
                 await self._check(known)
@@ -93,16 +93,16 @@
             # Another daemon placed the job on this one, or it was dropped after a conflict.
             self._runner.start_job(known.job)
             return
-        if record.owner and not self._doubts.is_gone(record.owner, known.owned_since_s):
-            self._orphan_since_s.pop(record.job_id, None)
-            last_beat = self._doubts.last_beat_if_silent(record.owner, known.owned_since_s)
+        if record.owner and not self._owner_monitor.is_gone(record.owner, known.owned_since_s):
+            self._ownerless_since_s.pop(record.job_id, None)
+            last_beat = self._owner_monitor.last_beat_if_silent(record.owner, known.owned_since_s)
             if last_beat is not None and self._may_probe(record):
-                self._doubts.start_probe(last_beat)
+                self._owner_monitor.start_probe(last_beat)
             return
         now_s = self._clock.monotonic_s()
-        since_s = self._orphan_since_s.setdefault(record.job_id, now_s)
+        since_s = self._ownerless_since_s.setdefault(record.job_id, now_s)
         if now_s - since_s >= self._own_delay_s(record.job_id, record.owner):
-            self._orphan_since_s.pop(record.job_id, None)
+            self._ownerless_since_s.pop(record.job_id, None)
             await self._claim(known)
 
     def _may_probe(self, record: JobRecord) -> bool:
@@ -128,7 +128,7 @@
             view_age_s=round(self._beats.view_age_s(), 2),
         )
         try:
-            stored = await self._journal.update(known.job, claimed, _CLAIM_TIMEOUT_S)
+            stored = await self._job_store.update(known.job, claimed, _CLAIM_TIMEOUT_S)
         except RowConflict as conflict:
             self._log.info("job_claim_lost", job_id=record.job_id, reason=conflict.message)
             return
@@ -136,5 +136,5 @@
             self._log.info("job_claim_failed", job_id=record.job_id, reason=error.message)
             return
         self.takeovers += 1
-        self._book.put(stored)
+        self._job_registry.put(stored)
         self._runner.start_job(stored)
