--- a/src/verbenawind/batches/engine_selection.py
+++ b/src/verbenawind/batches/engine_selection.py
@@ -26,7 +26,7 @@
     Args:
         directory: Known engines.
         newest_version: Returns the newest published version of a model.
-        current_engines: Returns the engines of a service that load every new version of a model.
+        current_engines: Returns the engines of a service that are kept up to date with a model.
         loads_soon: Returns whether an engine is about to load newer weights of a model.
         clock: Time source.
     """
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -57,7 +57,7 @@
         port: Sends requests to engines.
         routes: Returns the current routes, None while there are none.
         newest_version: Returns the newest published version of a model.
-        current_engines: Returns the engines of a service that load every new version of a model.
+        current_engines: Returns the engines of a service that are kept up to date with a model.
         loads_soon: Returns whether an engine is about to load newer weights of a model.
         store_ms: Returns the store's time.
         timings: Records durations for the metrics.
