--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -1,7 +1,7 @@
 """Batch jobs: accepted once, run on any engine with a free slot, listed at fixed positions."""
 
 from verbenawind.batches.book import JobBook
-from verbenawind.batches.journal import JOBS_TABLE, JobJournal, StoredJob
+from verbenawind.batches.job_store import JOBS_TABLE, JobStore, StoredJob
 from verbenawind.batches.owner_monitor import OwnerDoubts, PeerAnswer, PeerProbe
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
@@ -25,10 +25,10 @@
     "BatchSubmission",
     "ItemResult",
     "JobBook",
-    "JobJournal",
     "JobKeeper",
     "JobRecord",
     "JobState",
+    "JobStore",
     "JobSweeper",
     "OwnerDoubts",
     "PeerAnswer",
--- a/src/verbenawind/batches/journal.py
+++ b/src/verbenawind/batches/job_store.py
@@ -23,7 +23,7 @@
     replacement,
 )
 
-__all__ = ["JOBS_TABLE", "JobJournal", "KeptText", "StoredJob", "Tail", "decode_job"]
+__all__ = ["JOBS_TABLE", "JobStore", "KeptText", "StoredJob", "Tail", "decode_job"]
 
 JOBS_TABLE = "batch-jobs"
 _RESULTS_TABLE = "batch-results"
@@ -87,7 +87,7 @@
     text_object: str = ""
 
 
-class JobJournal:
+class JobStore:
     """Reads and writes jobs, results and partial texts.
 
     All rows of a job share one partition. Every transaction that writes results checks the version
--- a/src/verbenawind/batches/listing.py
+++ b/src/verbenawind/batches/listing.py
@@ -6,7 +6,7 @@
 import structlog
 
 from verbenawind.batches.book import JobBook
-from verbenawind.batches.journal import JobJournal
+from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.owned_job import OwnedJob
 from verbenawind.batches.types import ItemResult, JobState
 from verbenawind.clock import Clock
@@ -27,7 +27,7 @@
     A listed result has a fixed position and is visible to callers.
 
     Args:
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         book: Known jobs, updated when a job is closed.
         clock: Time source.
         drop: Stops running a job, with the reason.
@@ -38,13 +38,13 @@
 
     def __init__(
         self,
-        journal: JobJournal,
+        job_store: JobStore,
         book: JobBook,
         clock: Clock,
         drop: Callable[[OwnedJob, str], None],
         on_listed: Callable[[OwnedJob, Sequence[ItemResult]], None],
     ) -> None:
-        self._job_store = journal
+        self._job_store = job_store
         self._job_registry = book
         self._clock = clock
         self._drop = drop
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -5,7 +5,7 @@
 import structlog
 
 from verbenawind.batches.item_run import PartialText
-from verbenawind.batches.journal import JobJournal, KeptText, StoredJob, Tail
+from verbenawind.batches.job_store import JobStore, KeptText, StoredJob, Tail
 from verbenawind.batches.types import BatchSubmission
 from verbenawind.clock import Clock
 from verbenawind.errors import StoreUnavailable
@@ -37,14 +37,14 @@
     """Loads jobs, retrying while the store is unavailable.
 
     Args:
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         clock: Time source.
     """
 
     __slots__ = ("_clock", "_job_store", "_log")
 
-    def __init__(self, journal: JobJournal, clock: Clock) -> None:
-        self._job_store = journal
+    def __init__(self, job_store: JobStore, clock: Clock) -> None:
+        self._job_store = job_store
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
--- a/src/verbenawind/batches/partial_texts.py
+++ b/src/verbenawind/batches/partial_texts.py
@@ -2,7 +2,7 @@
 
 import structlog
 
-from verbenawind.batches.journal import JobJournal, KeptText
+from verbenawind.batches.job_store import JobStore, KeptText
 from verbenawind.batches.owned_job import ItemWork, OwnedJob
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
@@ -25,14 +25,14 @@
     A failed write loses no results: at worst the next owner generates more of a text again.
 
     Args:
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         clock: Time source.
     """
 
     __slots__ = ("_clock", "_job_store", "_log")
 
-    def __init__(self, journal: JobJournal, clock: Clock) -> None:
-        self._job_store = journal
+    def __init__(self, job_store: JobStore, clock: Clock) -> None:
+        self._job_store = job_store
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -11,7 +11,7 @@
 from verbenawind.batches.book import JobBook
 from verbenawind.batches.engine_selection import EngineSelector
 from verbenawind.batches.item_run import RunLimits, RunnerCounts, run_item
-from verbenawind.batches.journal import JobJournal, StoredJob
+from verbenawind.batches.job_store import JobStore, StoredJob
 from verbenawind.batches.listing import ResultLister
 from verbenawind.batches.loading import JobLoader
 from verbenawind.batches.ordering import EngineChoice, Rank
@@ -51,7 +51,7 @@
 
     Args:
         owner: This daemon's incarnation.
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         book: Known jobs.
         directory: Known engines.
         port: Sends requests to engines.
@@ -68,7 +68,7 @@
         self,
         *,
         owner: str,
-        journal: JobJournal,
+        job_store: JobStore,
         book: JobBook,
         directory: Directory,
         port: BackendPort,
@@ -81,7 +81,7 @@
         clock: Clock,
     ) -> None:
         self.owner = owner
-        self._job_store = journal
+        self._job_store = job_store
         self._job_registry = book
         self._directory = directory
         self._port = port
@@ -97,9 +97,9 @@
         self._engines = EngineSelector(
             directory, newest_version, current_engines, loads_soon, clock
         )
-        self._text_writer = PartialTextWriter(journal, clock)
-        self._job_loader = JobLoader(journal, clock)
-        self._result_lister = ResultLister(journal, book, clock, self._drop, self._record_listing)
+        self._text_writer = PartialTextWriter(job_store, clock)
+        self._job_loader = JobLoader(job_store, clock)
+        self._result_lister = ResultLister(job_store, book, clock, self._drop, self._record_listing)
         self._unfinished_work = UnfinishedWork()
         self.counts = RunnerCounts()
         self._outcomes = OutcomeHandler(self._engines, newest_version, self._unfinished_work, clock)
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -6,7 +6,7 @@
 import structlog
 
 from verbenawind.batches.book import JobBook
-from verbenawind.batches.journal import JobJournal, StoredJob
+from verbenawind.batches.job_store import JobStore, StoredJob
 from verbenawind.batches.placement import place_job
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.types import BatchSubmission, JobRecord, JobState, ResultsPage
@@ -31,7 +31,7 @@
     """Serves callers; every daemon can serve requests for every job.
 
     Args:
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         book: Known jobs.
         runner: Runs the jobs that are placed on this daemon.
         beats: Heartbeats of the daemons that may run jobs.
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        journal: JobJournal,
+        job_store: JobStore,
         book: JobBook,
         runner: BatchRunner,
         beats: HostBeats,
@@ -60,7 +60,7 @@
         clock: Clock,
     ) -> None:
         self._beats = beats
-        self._job_store = journal
+        self._job_store = job_store
         self._job_registry = book
         self._runner = runner
         self._store_ms = store_ms
--- a/src/verbenawind/batches/sweeping.py
+++ b/src/verbenawind/batches/sweeping.py
@@ -5,7 +5,7 @@
 import structlog
 
 from verbenawind.batches.book import JobBook, KnownJob
-from verbenawind.batches.journal import JobJournal
+from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.types import JobState
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
@@ -25,7 +25,7 @@
 
     Args:
         book: Known jobs.
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         is_mine: Returns whether a job is assigned to this daemon.
         store_ms: Returns the store's time.
         keep_s: How long a job may be read after its submission.
@@ -45,7 +45,7 @@
     def __init__(
         self,
         book: JobBook,
-        journal: JobJournal,
+        job_store: JobStore,
         *,
         is_mine: Callable[[str], bool],
         store_ms: Callable[[], int],
@@ -53,7 +53,7 @@
         clock: Clock,
     ) -> None:
         self._job_registry = book
-        self._job_store = journal
+        self._job_store = job_store
         self._is_mine = is_mine
         self._store_ms = store_ms
         self._keep_s = keep_s
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -6,7 +6,7 @@
 import structlog
 
 from verbenawind.batches.book import JobBook, KnownJob
-from verbenawind.batches.journal import JobJournal
+from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.owner_monitor import OwnerDoubts
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.types import JobRecord
@@ -38,7 +38,7 @@
 
     Args:
         book: Known jobs.
-        journal: Persistent record of jobs.
+        job_store: Persistent record of jobs.
         runner: Runs claimed jobs.
         beats: Heartbeats of all daemons.
         owner_monitor: Decides whether owners have failed.
@@ -61,14 +61,14 @@
     def __init__(
         self,
         book: JobBook,
-        journal: JobJournal,
+        job_store: JobStore,
         runner: BatchRunner,
         beats: HostBeats,
         owner_monitor: OwnerDoubts,
         clock: Clock,
     ) -> None:
         self._job_registry = book
-        self._job_store = journal
+        self._job_store = job_store
         self._runner = runner
         self._beats = beats
         self._owner_monitor = owner_monitor
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -17,9 +17,9 @@
     BatchJobs,
     BatchRunner,
     JobBook,
-    JobJournal,
     JobKeeper,
     JobState,
+    JobStore,
     JobSweeper,
     OwnerDoubts,
     PeerProbe,
@@ -161,10 +161,10 @@
             number=0,
         )
         self.book = JobBook(clock)
-        journal = JobJournal(store, settings.max_row_bytes)
+        job_store = JobStore(store, settings.max_row_bytes)
         self.runner = BatchRunner(
             owner=beat.owner_id,
-            journal=journal,
+            job_store=job_store,
             book=self.book,
             directory=self.directory,
             port=backends,
@@ -186,16 +186,16 @@
         )
         self.hosts_feed.on_return(self.beats.view_returned)
         doubts = OwnerDoubts(self.beats, probe, clock)
-        self.keeper = JobKeeper(self.book, journal, self.runner, self.beats, doubts, clock)
+        self.keeper = JobKeeper(self.book, job_store, self.runner, self.beats, doubts, clock)
         self.sweeper = JobSweeper(
             self.book,
-            journal,
+            job_store,
             is_mine=self._sweeps,
             store_ms=store_ms,
             keep_s=settings.job_status_s,
             clock=clock,
         )
-        self.jobs = BatchJobs(journal, self.book, self.runner, self.beats, store_ms, clock)
+        self.jobs = BatchJobs(job_store, self.book, self.runner, self.beats, store_ms, clock)
         self.lease = RowLease(
             store,
             RowId(table=HOSTS_TABLE, key=_LEASE_KEY),
