--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -1,6 +1,6 @@
 """Batch jobs: accepted once, run on any engine with a free slot, listed at fixed positions."""
 
-from verbenawind.batches.book import JobBook
+from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JOBS_TABLE, JobStore, StoredJob
 from verbenawind.batches.owner_monitor import OwnerDoubts, PeerAnswer, PeerProbe
 from verbenawind.batches.runner import BatchRunner
@@ -24,9 +24,9 @@
     "BatchRunner",
     "BatchSubmission",
     "ItemResult",
-    "JobBook",
     "JobKeeper",
     "JobRecord",
+    "JobRegistry",
     "JobState",
     "JobStore",
     "JobSweeper",
--- a/src/verbenawind/batches/book.py
+++ b/src/verbenawind/batches/job_registry.py
@@ -10,7 +10,7 @@
 from verbenawind.clock import Clock
 from verbenawind.kernel.row_ports import StoredRow
 
-__all__ = ["JobBook", "KnownJob"]
+__all__ = ["JobRegistry", "KnownJob"]
 
 
 class KnownJob:
@@ -28,7 +28,7 @@
         return self.job.record
 
 
-class JobBook:
+class JobRegistry:
     """Known jobs by id, each with the highest row version that was seen.
 
     Args:
@@ -47,7 +47,7 @@
         """Call *listener* with every new or changed job."""
         self._listeners.append(listener)
 
-    def take_row(self, row: StoredRow) -> None:
+    def apply_row(self, row: StoredRow) -> None:
         """Apply a row of the jobs table."""
         if row.value is None:
             self._jobs.pop(row.row_id.part, None)
--- a/src/verbenawind/batches/listing.py
+++ b/src/verbenawind/batches/listing.py
@@ -5,7 +5,7 @@
 import msgspec
 import structlog
 
-from verbenawind.batches.book import JobBook
+from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.owned_job import OwnedJob
 from verbenawind.batches.types import ItemResult, JobState
@@ -28,7 +28,7 @@
 
     Args:
         job_store: Persistent record of jobs.
-        book: Known jobs, updated when a job is closed.
+        job_registry: Known jobs, updated when a job is closed.
         clock: Time source.
         drop: Stops running a job, with the reason.
         on_listed: Called with the results of each transaction.
@@ -39,13 +39,13 @@
     def __init__(
         self,
         job_store: JobStore,
-        book: JobBook,
+        job_registry: JobRegistry,
         clock: Clock,
         drop: Callable[[OwnedJob, str], None],
         on_listed: Callable[[OwnedJob, Sequence[ItemResult]], None],
     ) -> None:
         self._job_store = job_store
-        self._job_registry = book
+        self._job_registry = job_registry
         self._clock = clock
         self._drop = drop
         self._on_listed = on_listed
--- a/src/verbenawind/batches/runner.py
+++ b/src/verbenawind/batches/runner.py
@@ -8,9 +8,9 @@
 import msgspec
 import structlog
 
-from verbenawind.batches.book import JobBook
 from verbenawind.batches.engine_selection import EngineSelector
 from verbenawind.batches.item_run import RunLimits, RunnerCounts, run_item
+from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JobStore, StoredJob
 from verbenawind.batches.listing import ResultLister
 from verbenawind.batches.loading import JobLoader
@@ -52,7 +52,7 @@
     Args:
         owner: This daemon's incarnation.
         job_store: Persistent record of jobs.
-        book: Known jobs.
+        job_registry: Known jobs.
         directory: Known engines.
         port: Sends requests to engines.
         routes: Returns the current routes, None while there are none.
@@ -69,7 +69,7 @@
         *,
         owner: str,
         job_store: JobStore,
-        book: JobBook,
+        job_registry: JobRegistry,
         directory: Directory,
         port: BackendPort,
         routes: Callable[[], RouteTable | None],
@@ -82,7 +82,7 @@
     ) -> None:
         self.owner = owner
         self._job_store = job_store
-        self._job_registry = book
+        self._job_registry = job_registry
         self._directory = directory
         self._port = port
         self._routes = routes
@@ -99,13 +99,15 @@
         )
         self._text_writer = PartialTextWriter(job_store, clock)
         self._job_loader = JobLoader(job_store, clock)
-        self._result_lister = ResultLister(job_store, book, clock, self._drop, self._record_listing)
+        self._result_lister = ResultLister(
+            job_store, job_registry, clock, self._drop, self._record_listing
+        )
         self._unfinished_work = UnfinishedWork()
         self.counts = RunnerCounts()
         self._outcomes = OutcomeHandler(self._engines, newest_version, self._unfinished_work, clock)
         self.stopping = False
         self._log = structlog.get_logger("batches")
-        book.on_change(self._job_changed)
+        job_registry.on_change(self._job_changed)
         directory.on_change(self._wake.set)
 
     @property
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from verbenawind.batches.book import JobBook
+from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JobStore, StoredJob
 from verbenawind.batches.placement import place_job
 from verbenawind.batches.runner import BatchRunner
@@ -32,7 +32,7 @@
 
     Args:
         job_store: Persistent record of jobs.
-        book: Known jobs.
+        job_registry: Known jobs.
         runner: Runs the jobs that are placed on this daemon.
         beats: Heartbeats of the daemons that may run jobs.
         store_ms: Returns the store's time.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         job_store: JobStore,
-        book: JobBook,
+        job_registry: JobRegistry,
         runner: BatchRunner,
         beats: HostBeats,
         store_ms: Callable[[], int],
@@ -61,7 +61,7 @@
     ) -> None:
         self._beats = beats
         self._job_store = job_store
-        self._job_registry = book
+        self._job_registry = job_registry
         self._runner = runner
         self._store_ms = store_ms
         self._clock = clock
--- a/src/verbenawind/batches/sweeping.py
+++ b/src/verbenawind/batches/sweeping.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from verbenawind.batches.book import JobBook, KnownJob
+from verbenawind.batches.job_registry import JobRegistry, KnownJob
 from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.types import JobState
 from verbenawind.clock import Clock
@@ -24,7 +24,7 @@
     Rendezvous hashing over the live daemons assigns each job to one of them.
 
     Args:
-        book: Known jobs.
+        job_registry: Known jobs.
         job_store: Persistent record of jobs.
         is_mine: Returns whether a job is assigned to this daemon.
         store_ms: Returns the store's time.
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        job_registry: JobRegistry,
         job_store: JobStore,
         *,
         is_mine: Callable[[str], bool],
@@ -52,7 +52,7 @@
         keep_s: float,
         clock: Clock,
     ) -> None:
-        self._job_registry = book
+        self._job_registry = job_registry
         self._job_store = job_store
         self._is_mine = is_mine
         self._store_ms = store_ms
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -5,7 +5,7 @@
 import msgspec
 import structlog
 
-from verbenawind.batches.book import JobBook, KnownJob
+from verbenawind.batches.job_registry import JobRegistry, KnownJob
 from verbenawind.batches.job_store import JobStore
 from verbenawind.batches.owner_monitor import OwnerDoubts
 from verbenawind.batches.runner import BatchRunner
@@ -37,7 +37,7 @@
     """Claims jobs without a live owner.
 
     Args:
-        book: Known jobs.
+        job_registry: Known jobs.
         job_store: Persistent record of jobs.
         runner: Runs claimed jobs.
         beats: Heartbeats of all daemons.
@@ -60,14 +60,14 @@
 
     def __init__(
         self,
-        book: JobBook,
+        job_registry: JobRegistry,
         job_store: JobStore,
         runner: BatchRunner,
         beats: HostBeats,
         owner_monitor: OwnerDoubts,
         clock: Clock,
     ) -> None:
-        self._job_registry = book
+        self._job_registry = job_registry
         self._job_store = job_store
         self._runner = runner
         self._beats = beats
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -16,8 +16,8 @@
     JOBS_TABLE,
     BatchJobs,
     BatchRunner,
-    JobBook,
     JobKeeper,
+    JobRegistry,
     JobState,
     JobStore,
     JobSweeper,
@@ -160,12 +160,12 @@
             location=settings.location,
             number=0,
         )
-        self.book = JobBook(clock)
+        self.job_registry = JobRegistry(clock)
         job_store = JobStore(store, settings.max_row_bytes)
         self.runner = BatchRunner(
             owner=beat.owner_id,
             job_store=job_store,
-            book=self.book,
+            job_registry=self.job_registry,
             directory=self.directory,
             port=backends,
             routes=lambda: self.routes,
@@ -186,16 +186,20 @@
         )
         self.hosts_feed.on_return(self.beats.view_returned)
         doubts = OwnerDoubts(self.beats, probe, clock)
-        self.keeper = JobKeeper(self.book, job_store, self.runner, self.beats, doubts, clock)
+        self.keeper = JobKeeper(
+            self.job_registry, job_store, self.runner, self.beats, doubts, clock
+        )
         self.sweeper = JobSweeper(
-            self.book,
+            self.job_registry,
             job_store,
             is_mine=self._sweeps,
             store_ms=store_ms,
             keep_s=settings.job_status_s,
             clock=clock,
         )
-        self.jobs = BatchJobs(job_store, self.book, self.runner, self.beats, store_ms, clock)
+        self.jobs = BatchJobs(
+            job_store, self.job_registry, self.runner, self.beats, store_ms, clock
+        )
         self.lease = RowLease(
             store,
             RowId(table=HOSTS_TABLE, key=_LEASE_KEY),
@@ -218,7 +222,7 @@
             timings=timings,
             clock=clock,
         )
-        self.book.on_change(self._job_changed)
+        self.job_registry.on_change(self._job_changed)
         self.forwarder = Forwarder(self.directory, backends, settings.location, clock)
         self.streams = StreamForwarder(self.directory, backends, settings.location, clock)
 
@@ -339,7 +343,7 @@
             self.beats.take(row)
 
     def _take_job_row(self, row: StoredRow) -> None:
-        self.book.take_row(row)
+        self.job_registry.apply_row(row)
 
     def _job_changed(self, job: StoredJob) -> None:
         record = job.record
@@ -361,7 +365,7 @@
     def _needed_version(self, model: str) -> int:
         needed = [
             known.record.min_version
-            for known in self.book.open_jobs()
+            for known in self.job_registry.open_jobs()
             if known.record.model == model
         ]
         return max(needed, default=0)
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -106,8 +106,8 @@
             submission = job()
             await fleet.submit(first, submission)
             await fleet.collect(first, submission)
-            await fleet.until(lambda: not second.node.book.open_jobs())
-            known = second.node.book.get(submission.job_id)
+            await fleet.until(lambda: not second.node.job_registry.open_jobs())
+            known = second.node.job_registry.get(submission.job_id)
             assert known is not None and known.record.state is JobState.DONE
 
         run_fleet(work)
@@ -283,7 +283,10 @@
             await leaving.node.hand_over()
             owner = leaving.node.runner.owner
             took_s = await fleet.until(
-                lambda: second.node.book.get(submission.job_id).record.owner not in ("", owner)  # type: ignore[union-attr]
+                lambda: (
+                    second.node.job_registry.get(submission.job_id).record.owner  # type: ignore[union-attr]
+                    not in ("", owner)
+                )
             )
             assert took_s < 2.0
             check_whole(submission, await fleet.collect(second, submission))
@@ -479,7 +482,7 @@
             await first.node.hand_over()
             submission = job()
             await fleet.submit(first, submission)
-            stored = first.node.book.get(submission.job_id)
+            stored = first.node.job_registry.get(submission.job_id)
             assert stored is not None and stored.record.owner == ""
             check_whole(submission, await fleet.collect(second, submission))
             assert fleet.clock.monotonic_s() < 4.0
@@ -612,7 +615,7 @@
                 lambda: not any(fleet.store.table_parts(table) for table in tables), timeout_s=90.0
             )
             assert not fleet.store.objects()
-            await fleet.until(lambda: not second.node.book.closed_jobs())
+            await fleet.until(lambda: not second.node.job_registry.closed_jobs())
 
         run_fleet(work)
 
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -101,7 +101,7 @@
             fleet.store.faults.down = False
             reader = next(iter(fleet.members.values()))
             check_whole(submission, await fleet.collect(reader, submission))
-            known = reader.node.book.get(submission.job_id)
+            known = reader.node.job_registry.get(submission.job_id)
             assert known is not None and known.record.epoch == 1
 
         run_fleet(work)
