--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -6,7 +6,7 @@
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
 from verbenawind.batches.sweeping import JobSweeper
-from verbenawind.batches.takeover import JobKeeper
+from verbenawind.batches.takeover import JobTakeover
 from verbenawind.batches.types import (
     BatchItem,
     BatchSubmission,
@@ -24,12 +24,12 @@
     "BatchRunner",
     "BatchSubmission",
     "ItemResult",
-    "JobKeeper",
     "JobRecord",
     "JobRegistry",
     "JobState",
     "JobStore",
     "JobSweeper",
+    "JobTakeover",
     "OwnerDoubts",
     "PeerAnswer",
     "PeerProbe",
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -15,7 +15,7 @@
 from verbenawind.kernel.rendezvous import top
 from verbenawind.state.beats import HostBeats, host_of
 
-__all__ = ["JobKeeper", "claim_delay_s"]
+__all__ = ["JobTakeover", "claim_delay_s"]
 
 _CHECK_PERIOD_S = 0.1
 _CLAIM_TIMEOUT_S = 2.0
@@ -33,7 +33,7 @@
     return rank * _RANK_DELAY_S
 
 
-class JobKeeper:
+class JobTakeover:
     """Claims jobs without a live owner.
 
     Args:
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -16,11 +16,11 @@
     JOBS_TABLE,
     BatchJobs,
     BatchRunner,
-    JobKeeper,
     JobRegistry,
     JobState,
     JobStore,
     JobSweeper,
+    JobTakeover,
     OwnerDoubts,
     PeerProbe,
     StoredJob,
@@ -186,7 +186,7 @@
         )
         self.hosts_feed.on_return(self.beats.view_returned)
         doubts = OwnerDoubts(self.beats, probe, clock)
-        self.keeper = JobKeeper(
+        self.job_takeover = JobTakeover(
             self.job_registry, job_store, self.runner, self.beats, doubts, clock
         )
         self.sweeper = JobSweeper(
@@ -245,7 +245,7 @@
             ("jobs_feed", self.jobs_feed.run),
             ("beats", self.beats.run),
             ("runner", self.runner.run),
-            ("keeper", self.keeper.run),
+            ("keeper", self.job_takeover.run),
             ("sweeper", self.sweeper.run),
             ("lease", self.lease.run),
             ("desk", self.desk.run),
@@ -256,7 +256,7 @@
     async def hand_over(self) -> None:
         """Give jobs and the lease up at once; requests go on being served."""
         self._stopping = True
-        self.keeper.paused = True
+        self.job_takeover.paused = True
         await asyncio.gather(
             self.lease.release(),
             self.runner.hand_over(_HAND_OVER_S),
--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -207,7 +207,9 @@
         self._collect_servers()
         put("jobs_owned", "Open jobs that are run here.", len(self.node.runner.jobs))
         put("results_listed", "Results listed here.", self.node.runner.results_listed)
-        put("job_takeovers", "Jobs taken over from other daemons.", self.node.keeper.takeovers)
+        put(
+            "job_takeovers", "Jobs taken over from other daemons.", self.node.job_takeover.takeovers
+        )
         put("relayed_calls", "Store calls made for peers.", self._relay_server.relayed)
         put(
             "backend_connections_opened",
