--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -2,7 +2,7 @@
 
 from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JOBS_TABLE, JobStore, StoredJob
-from verbenawind.batches.owner_monitor import OwnerDoubts, PeerAnswer, PeerProbe
+from verbenawind.batches.owner_monitor import OwnerMonitor, PeerAnswer, PeerProbe
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
 from verbenawind.batches.sweeping import JobSweeper
@@ -30,7 +30,7 @@
     "JobStore",
     "JobSweeper",
     "JobTakeover",
-    "OwnerDoubts",
+    "OwnerMonitor",
     "PeerAnswer",
     "PeerProbe",
     "ResultState",
--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -13,7 +13,7 @@
 from verbenawind.clock import Clock
 from verbenawind.state.beats import Beat, HostBeats
 
-__all__ = ["OwnerDoubts", "PeerAnswer", "PeerProbe"]
+__all__ = ["OwnerMonitor", "PeerAnswer", "PeerProbe"]
 
 # Silence after which an owner's host is probed. A busy host writes a heartbeat every 0.5 s, and it
 # arrives up to one polling interval of the feed later.
@@ -40,7 +40,7 @@
         """Return the result of connecting to a daemon's address, within about 0.3 s."""
 
 
-class OwnerDoubts:
+class OwnerMonitor:
     """Decides from heartbeats and probes whether owners have failed.
 
     A refused connection proves that the daemon no longer runs. A host that does not answer may be
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -7,7 +7,7 @@
 
 from verbenawind.batches.job_registry import JobRegistry, KnownJob
 from verbenawind.batches.job_store import JobStore
-from verbenawind.batches.owner_monitor import OwnerDoubts
+from verbenawind.batches.owner_monitor import OwnerMonitor
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.types import JobRecord
 from verbenawind.clock import Clock
@@ -64,7 +64,7 @@
         job_store: JobStore,
         runner: BatchRunner,
         beats: HostBeats,
-        owner_monitor: OwnerDoubts,
+        owner_monitor: OwnerMonitor,
         clock: Clock,
     ) -> None:
         self._job_registry = job_registry
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -21,7 +21,7 @@
     JobStore,
     JobSweeper,
     JobTakeover,
-    OwnerDoubts,
+    OwnerMonitor,
     PeerProbe,
     StoredJob,
 )
@@ -185,9 +185,9 @@
             view_age_s=self.hosts_feed.age_s,
         )
         self.hosts_feed.on_return(self.beats.view_returned)
-        doubts = OwnerDoubts(self.beats, probe, clock)
+        owner_monitor = OwnerMonitor(self.beats, probe, clock)
         self.job_takeover = JobTakeover(
-            self.job_registry, job_store, self.runner, self.beats, doubts, clock
+            self.job_registry, job_store, self.runner, self.beats, owner_monitor, clock
         )
         self.sweeper = JobSweeper(
             self.job_registry,
