--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -2,7 +2,7 @@
 
 from verbenawind.batches.job_registry import JobRegistry
 from verbenawind.batches.job_store import JOBS_TABLE, JobStore, StoredJob
-from verbenawind.batches.owner_monitor import OwnerMonitor, PeerAnswer, PeerProbe
+from verbenawind.batches.owner_monitor import OwnerMonitor, PeerProbe, ProbeResult
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
 from verbenawind.batches.sweeping import JobSweeper
@@ -31,8 +31,8 @@
     "JobSweeper",
     "JobTakeover",
     "OwnerMonitor",
-    "PeerAnswer",
     "PeerProbe",
+    "ProbeResult",
     "ResultState",
     "ResultsPage",
     "StoredJob",
--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -13,7 +13,7 @@
 from verbenawind.clock import Clock
 from verbenawind.state.beats import Beat, HostBeats
 
-__all__ = ["OwnerMonitor", "PeerAnswer", "PeerProbe"]
+__all__ = ["OwnerMonitor", "PeerProbe", "ProbeResult"]
 
 # Silence after which an owner's host is probed. A busy host writes a heartbeat every 0.5 s, and it
 # arrives up to one polling interval of the feed later.
@@ -25,7 +25,7 @@
 _MAX_REFUSED = 1000
 
 
-class PeerAnswer(StrEnum):
+class ProbeResult(StrEnum):
     """The result of connecting to a daemon's address."""
 
     ACCEPTED = "accepted"
@@ -36,7 +36,7 @@
 class PeerProbe(Protocol):
     """Distinguishes a host on which no daemon runs from a host that cannot be reached."""
 
-    async def ask(self, address: str) -> PeerAnswer:
+    async def connect(self, address: str) -> ProbeResult:
         """Return the result of connecting to a daemon's address, within about 0.3 s."""
 
 
@@ -102,14 +102,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _probe_owner(self, beat: Beat) -> None:
-        answer = await self._probe.ask(beat.address)
+        answer = await self._probe.connect(beat.address)
         now_s = self._clock.monotonic_s()
         self._unanswered = {
             owner_id: probed_at_s
             for owner_id, probed_at_s in self._unanswered.items()
             if owner_id != beat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
         }
-        if answer is PeerAnswer.NONE:
+        if answer is ProbeResult.NONE:
             self._unanswered[beat.owner_id] = now_s
             self._log.info(
                 "owner_unanswered",
@@ -117,7 +117,7 @@
                 address=beat.address,
                 view_age_s=round(self._beats.view_age_s(), 2),
             )
-        if answer is not PeerAnswer.REFUSED:
+        if answer is not ProbeResult.REFUSED:
             return
         self._refused[beat.owner_id] = None
         while len(self._refused) > _MAX_REFUSED:
--- a/src/verbenawind/plugins/tcp_probe.py
+++ b/src/verbenawind/plugins/tcp_probe.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from verbenawind.batches import PeerAnswer
+from verbenawind.batches import ProbeResult
 
 __all__ = ["TcpProbe"]
 
@@ -19,16 +19,16 @@
     def __init__(self, timeout_s: float) -> None:
         self._timeout_s = timeout_s
 
-    async def ask(self, address: str) -> PeerAnswer:
+    async def connect(self, address: str) -> ProbeResult:
         """Open a connection and close it again."""
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(self._timeout_s):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
-            return PeerAnswer.REFUSED
+            return ProbeResult.REFUSED
         except (OSError, TimeoutError):
             # Without power, cut off, frozen or overloaded; the caller says so in its log.
-            return PeerAnswer.NONE
+            return ProbeResult.NONE
         writer.close()
-        return PeerAnswer.ACCEPTED
+        return ProbeResult.ACCEPTED
--- a/tests/node/fleet.py
+++ b/tests/node/fleet.py
@@ -15,7 +15,7 @@
     BatchSubmission,
     ItemResult,
     JobRecord,
-    PeerAnswer,
+    ProbeResult,
 )
 from verbenawind.clock import LoopClock
 from verbenawind.gateway import (
@@ -210,15 +210,15 @@
         self.lost.add(name)
         self.kill(name)
 
-    async def ask(self, address: str) -> PeerAnswer:
+    async def connect(self, address: str) -> ProbeResult:
         """Answer as the hosts would; implements the PeerProbe port."""
         name = address.partition(":")[0]
         self.asked.append(name)
         if name in self.lost:
             await asyncio.sleep(0.3)
-            return PeerAnswer.NONE
+            return ProbeResult.NONE
         await asyncio.sleep(0.002)
-        return PeerAnswer.ACCEPTED if name in self.members else PeerAnswer.REFUSED
+        return ProbeResult.ACCEPTED if name in self.members else ProbeResult.REFUSED
 
     async def start(self, *, hosts: int = 2, engines: int = 2, **changes: Any) -> None:
         """Start hosts and engines and wait until the hosts are ready."""
--- a/tests/test_tcp_probe.py
+++ b/tests/test_tcp_probe.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from verbenawind.batches import PeerAnswer
+from verbenawind.batches import ProbeResult
 from verbenawind.plugins.tcp_probe import TcpProbe
 
 
@@ -21,8 +21,8 @@
         async def work() -> None:
             server = await asyncio.start_server(lambda _, writer: writer.close(), "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            answer = await TcpProbe(5.0).ask(f"127.0.0.1:{port}")
-            assert answer is PeerAnswer.ACCEPTED
+            answer = await TcpProbe(5.0).connect(f"127.0.0.1:{port}")
+            assert answer is ProbeResult.ACCEPTED
             server.close()
             await server.wait_closed()
 
@@ -30,13 +30,13 @@
 
     def test_port_without_a_daemon_refuses(self) -> None:
         """A host that lives and has nobody at the port refuses."""
-        answer = asyncio.run(TcpProbe(5.0).ask(f"127.0.0.1:{free_port()}"))
-        assert answer is PeerAnswer.REFUSED
+        answer = asyncio.run(TcpProbe(5.0).connect(f"127.0.0.1:{free_port()}"))
+        assert answer is ProbeResult.REFUSED
 
     def test_host_that_does_not_answer_proves_nothing(self) -> None:
         """A listener whose queue is full answers no connection; the probe gives up, undecided."""
 
-        async def work() -> PeerAnswer:
+        async def work() -> ProbeResult:
             with socket.socket() as listener:
                 listener.bind(("127.0.0.1", 0))
                 listener.listen(0)
@@ -46,9 +46,9 @@
                     client.setblocking(False)
                     client.connect_ex(address)
                 try:
-                    return await TcpProbe(0.2).ask(f"127.0.0.1:{address[1]}")
+                    return await TcpProbe(0.2).connect(f"127.0.0.1:{address[1]}")
                 finally:
                     for client in waiting:
                         client.close()
 
-        assert asyncio.run(work()) is PeerAnswer.NONE
+        assert asyncio.run(work()) is ProbeResult.NONE
