--- a/tests/batches/test_paces.py
+++ b/tests/batches/test_paces.py
@@ -7,7 +7,7 @@
 from verbenawind.batches.paces import EnginePaces, RunPace
 
 
-class SetClock:
+class ManualClock:
     """A clock that advances only when it is set or slept on."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
 class TestMoves:
     def test_run_moves_to_an_engine_that_is_much_faster(self) -> None:
         """A run leaves a slow engine, but does not move for a small difference."""
-        paces = EnginePaces(SetClock())
+        paces = EnginePaces(ManualClock())
         paces.learn("fast", 0.04)
         assert paces.faster(run_of([0.15] * 5), ["fast"], 6)
         assert not paces.faster(run_of([0.06] * 5), ["fast"], 6)
@@ -58,14 +58,14 @@
 
     def test_long_run_moves_for_a_smaller_gain(self) -> None:
         """A run with many events is likely to produce many more, so a gain of a third suffices."""
-        paces = EnginePaces(SetClock())
+        paces = EnginePaces(ManualClock())
         paces.learn("fast", 0.045)
         assert paces.faster(run_of([0.06] * 5), ["fast"], 30)
         assert not paces.faster(run_of([0.05] * 5), ["fast"], 30)
 
     def test_slow_engine_is_retried_with_few_runs(self) -> None:
         """A slow engine gets two runs once its sample is stale, and all slots if they are fast."""
-        clock = SetClock()
+        clock = ManualClock()
         paces = EnginePaces(clock)
         paces.learn("fast", 0.04)
         paces.learn("slow", 0.15)
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from batches.test_paces import SetClock
+from batches.test_paces import ManualClock
 from verbenawind.gateway import Directory, Instance
 from verbenawind.kernel.messages import Location
 
@@ -25,7 +25,7 @@
 class TestEntries:
     def test_leaving_server_gets_no_work_and_stays_leaving(self) -> None:
         """A server that has said that it leaves is not believed to be back in one incarnation."""
-        directory = Directory(SetClock())
+        directory = Directory(ManualClock())
         directory.put(instance())
         assert directory.backends("pool")
         directory.put(instance(draining=True))
@@ -36,7 +36,7 @@
 
     def test_new_incarnation_knows_nothing_of_before(self) -> None:
         """A server that started again under its id has no load and no past failures."""
-        directory = Directory(SetClock())
+        directory = Directory(ManualClock())
         directory.put(instance())
         before = directory.backends("pool")[0]
         before.begin()
@@ -47,14 +47,14 @@
 
     def test_removed_entry_is_gone_at_once(self) -> None:
         """While the registry is heard, a removed entry means a server that has left."""
-        directory = Directory(SetClock())
+        directory = Directory(ManualClock())
         directory.put(instance())
         directory.remove("s1")
         assert not directory.backends("pool")
 
     def test_entry_that_lapsed_in_an_outage_has_two_seconds(self) -> None:
         """Right after an outage a removed entry may come back; after two seconds it is gone."""
-        clock = SetClock()
+        clock = ManualClock()
         directory = Directory(clock)
         directory.put(instance())
         clock.now_s = 10.0
@@ -67,7 +67,7 @@
 
     def test_entry_that_comes_back_stays(self) -> None:
         """A lapsed entry that is written again is an ordinary one."""
-        clock = SetClock()
+        clock = ManualClock()
         directory = Directory(clock)
         directory.put(instance())
         directory.feed_returned(5.0)
@@ -81,7 +81,7 @@
 class TestHealth:
     def test_suspicion_grows_and_ends(self) -> None:
         """Failures in a row make a server suspect for longer; an answer clears it."""
-        clock = SetClock()
+        clock = ManualClock()
         directory = Directory(clock)
         directory.put(instance())
         (server,) = directory.backends("pool")
