--- a/src/verbenawind/batches/sweeping.py
+++ b/src/verbenawind/batches/sweeping.py
@@ -26,9 +26,9 @@
     Args:
         job_registry: Known jobs.
         job_store: Persistent record of jobs.
-        is_mine: Returns whether a job is assigned to this daemon.
+        is_assigned: Returns whether a job is assigned to this daemon.
         store_ms: Returns the store's time.
-        keep_s: How long a job may be read after its submission.
+        retention_s: How long a job may be read after its submission.
         clock: Time source.
     """
 
@@ -37,8 +37,8 @@
         "_is_mine",
         "_job_registry",
         "_job_store",
-        "_keep_s",
         "_log",
+        "_retention_s",
         "_store_ms",
     )
 
@@ -47,16 +47,16 @@
         job_registry: JobRegistry,
         job_store: JobStore,
         *,
-        is_mine: Callable[[str], bool],
+        is_assigned: Callable[[str], bool],
         store_ms: Callable[[], int],
-        keep_s: float,
+        retention_s: float,
         clock: Clock,
     ) -> None:
         self._job_registry = job_registry
         self._job_store = job_store
-        self._is_mine = is_mine
+        self._is_mine = is_assigned
         self._store_ms = store_ms
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
@@ -71,7 +71,8 @@
     def _is_expired(self, known: KnownJob) -> bool:
         age_s = known.record.age_s(self._store_ms())
         return (
-            known.record.state is not JobState.OPEN and age_s > self._keep_s + _RETENTION_MARGIN_S
+            known.record.state is not JobState.OPEN
+            and age_s > self._retention_s + _RETENTION_MARGIN_S
         )
 
     async def _sweep(self, known: KnownJob) -> None:
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -192,9 +192,9 @@
         self.sweeper = JobSweeper(
             self.job_registry,
             job_store,
-            is_mine=self._sweeps,
+            is_assigned=self._sweeps,
             store_ms=store_ms,
-            keep_s=settings.job_status_s,
+            retention_s=settings.job_status_s,
             clock=clock,
         )
         self.jobs = BatchJobs(
