--- a/src/verbenawind/batches/__init__.py
+++ b/src/verbenawind/batches/__init__.py
@@ -1,12 +1,12 @@
-"""Batch jobs: accepted once, run wherever engines have room, listed at fixed positions."""
+"""Batch jobs: accepted once, run on any engine with a free slot, listed at fixed positions."""
 
-from verbenawind.batches.book import JobBook
-from verbenawind.batches.doubts import OwnerDoubts, PeerAnswer, PeerProbe
-from verbenawind.batches.journal import JOBS_TABLE, JobJournal, StoredJob
-from verbenawind.batches.keeper import JobKeeper
+from verbenawind.batches.job_registry import JobRegistry
+from verbenawind.batches.job_store import JOBS_TABLE, JobStore, StoredJob
+from verbenawind.batches.owner_monitor import OwnerMonitor, PeerProbe, ProbeResult
 from verbenawind.batches.runner import BatchRunner
 from verbenawind.batches.service import BatchJobs
 from verbenawind.batches.sweeping import JobSweeper
+from verbenawind.batches.takeover import JobTakeover
 from verbenawind.batches.types import (
     BatchItem,
     BatchSubmission,
@@ -24,15 +24,15 @@
     "BatchRunner",
     "BatchSubmission",
     "ItemResult",
-    "JobBook",
-    "JobJournal",
-    "JobKeeper",
     "JobRecord",
+    "JobRegistry",
     "JobState",
+    "JobStore",
     "JobSweeper",
-    "OwnerDoubts",
-    "PeerAnswer",
+    "JobTakeover",
+    "OwnerMonitor",
     "PeerProbe",
+    "ProbeResult",
     "ResultState",
     "ResultsPage",
     "StoredJob",
--- a/src/verbenawind/batches/loading.py
+++ b/src/verbenawind/batches/loading.py
@@ -1,11 +1,11 @@
-"""Reads what the owner of a job needs to begin, or to go on where another has stopped."""
+"""Loads what an owner needs to start a job or to resume it after another owner."""
 
 from collections.abc import Iterable
 
 import structlog
 
-from verbenawind.batches.item_run import HeldText
-from verbenawind.batches.journal import JobJournal, KeptText, StoredJob, Tail
+from verbenawind.batches.item_run import PartialText
+from verbenawind.batches.job_store import JobStore, KeptText, StoredJob, Tail
 from verbenawind.batches.types import BatchSubmission
 from verbenawind.clock import Clock
 from verbenawind.errors import StoreUnavailable
@@ -18,38 +18,38 @@
 
 
 class LoadedJob(Value, frozen=True, kw_only=True):
-    """A job as the store has it.
+    """A job's stored state.
 
     Attributes:
-        submission: The job as it was submitted.
-        tail: Where the next results go.
-        listed: Ids of the items that are listed, in order.
-        kept: Text of unfinished items that an earlier owner kept, by item.
+        submission: The job as submitted.
+        tail: The end of the result list.
+        listed: Ids of the items with a listed result, in order.
+        kept: Partial text that an earlier owner persisted, by item.
     """
 
     submission: BatchSubmission
     tail: Tail
     listed: tuple[str, ...]
-    kept: dict[str, HeldText]
+    kept: dict[str, PartialText]
 
 
 class JobLoader:
-    """Reads jobs, and tries again while the store is away.
+    """Loads jobs, retrying while the store is unavailable.
 
     Args:
-        journal: The lasting record.
+        job_store: Persistent record of jobs.
         clock: Time source.
     """
 
-    __slots__ = ("_clock", "_journal", "_log")
+    __slots__ = ("_clock", "_job_store", "_log")
 
-    def __init__(self, journal: JobJournal, clock: Clock) -> None:
-        self._journal = journal
+    def __init__(self, job_store: JobStore, clock: Clock) -> None:
+        self._job_store = job_store
         self._clock = clock
         self._log = structlog.get_logger("batches")
 
     async def load(self, stored: StoredJob, *, fresh: bool) -> LoadedJob:
-        """Return what the store has of a job; a *fresh* one has neither results nor texts."""
+        """Return a job's stored state; a *fresh* job has neither results nor partial texts."""
         while True:
             try:
                 return await self._load(stored, fresh)
@@ -61,40 +61,44 @@
 
     async def _load(self, stored: StoredJob, fresh: bool) -> LoadedJob:
         job_id = stored.record.job_id
-        submission = await self._journal.submission(job_id, _READ_TIMEOUT_S)
-        tail = Tail() if fresh else await self._journal.tail(job_id, _READ_TIMEOUT_S)
-        listed = await self._listed(job_id, tail.listed)
-        kept = [] if fresh else await self._journal.kept_texts(job_id, _READ_TIMEOUT_S)
+        submission = await self._job_store.submission(job_id, _READ_TIMEOUT_S)
+        tail = Tail() if fresh else await self._job_store.tail(job_id, _READ_TIMEOUT_S)
+        listed = await self._listed_item_ids(job_id, tail.listed)
+        kept = [] if fresh else await self._job_store.kept_texts(job_id, _READ_TIMEOUT_S)
         return LoadedJob(
             submission=submission,
             tail=tail,
             listed=tuple(listed),
-            kept=_assembled(kept, stored.record.min_version),
+            kept=_assemble_texts(kept, stored.record.min_version),
         )
 
-    async def _listed(self, job_id: str, count: int) -> list[str]:
+    async def _listed_item_ids(self, job_id: str, count: int) -> list[str]:
         """Return the ids of the listed items, in order."""
         listed: list[str] = []
         while len(listed) < count:
-            found = await self._journal.results(job_id, len(listed), _READ_TIMEOUT_S)
+            found = await self._job_store.results(job_id, len(listed), _READ_TIMEOUT_S)
             if not found:
                 raise StoreUnavailable(
-                    f"job {job_id} has {len(listed)} of {count} results", effect_possible=False
+                    f"job {job_id}: only {len(listed)} of {count} results are stored",
+                    effect_possible=False,
                 )
             listed += [result.item_id for result in found]
         return listed
 
 
-def _assembled(texts: Iterable[KeptText], min_version: int) -> dict[str, HeldText]:
-    """Return the texts that an earlier owner kept, each up to its first gap, where they fit."""
-    held: dict[str, HeldText] = {}
+def _assemble_texts(texts: Iterable[KeptText], min_version: int) -> dict[str, PartialText]:
+    """Join persisted pieces to one text per item, each up to its first gap.
+
+    Texts from weights older than *min_version* are left out.
+    """
+    partial: dict[str, PartialText] = {}
     for text in texts:
-        whole = held.setdefault(text.item_id, HeldText())
-        if text.first == len(whole.events):
-            whole.extend(text.events, text.last_event, text.last_version)
-            whole.versions.update(text.versions)
+        joined = partial.setdefault(text.item_id, PartialText())
+        if text.first == len(joined.events):
+            joined.extend(text.events, text.last_event, text.last_version)
+            joined.versions.update(text.versions)
     return {
         item_id: text
-        for item_id, text in held.items()
-        if text.events and text.fits(min_version, single_version=False)
+        for item_id, text in partial.items()
+        if text.events and text.satisfies(min_version, single_version=False)
     }
--- /dev/null
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -0,0 +1,130 @@
+"""Detects failed job owners from their heartbeats and by probing the hosts of silent ones.
+
+A probe detects a failure sooner than waiting for the heartbeat timeout.
+"""
+
+import asyncio
+from collections import OrderedDict
+from enum import StrEnum
+from typing import Protocol
+
+import structlog
+
+from verbenawind.clock import Clock
+from verbenawind.state.beats import Beat, HostBeats
+
+__all__ = ["OwnerMonitor", "PeerProbe", "ProbeResult"]
+
+# Silence after which an owner's host is probed. A busy host writes a heartbeat every 0.5 s, and it
+# arrives up to one polling interval of the feed later.
+_PROBE_AFTER_S = 0.8
+# Interval between probes of one host.
+_PROBE_PERIOD_S = 0.3
+# How long an unanswered probe counts as evidence.
+_UNANSWERED_TTL_S = 1.0
+_MAX_REFUSED = 1000
+
+
+class ProbeResult(StrEnum):
+    """The result of connecting to a daemon's address."""
+
+    ACCEPTED = "accepted"
+    REFUSED = "refused"
+    NONE = "none"
+
+
+class PeerProbe(Protocol):
+    """Distinguishes a host on which no daemon runs from a host that cannot be reached."""
+
+    async def connect(self, address: str) -> ProbeResult:
+        """Return the result of connecting to a daemon's address, within about 0.3 s."""
+
+
+class OwnerMonitor:
+    """Decides from heartbeats and probes whether owners have failed.
+
+    A refused connection proves that the daemon no longer runs. A host that does not answer may be
+    frozen or partitioned; in that case about half the usual heartbeat timeout is enough.
+
+    Args:
+        beats: Heartbeats of all daemons.
+        probe: Connects to a host.
+        clock: Time source.
+    """
+
+    __slots__ = (
+        "_beats",
+        "_clock",
+        "_log",
+        "_probe",
+        "_probed_at_s",
+        "_refused",
+        "_tasks",
+        "_unanswered",
+    )
+
+    def __init__(self, beats: HostBeats, probe: PeerProbe, clock: Clock) -> None:
+        self._beats = beats
+        self._probe = probe
+        self._clock = clock
+        self._probed_at_s: dict[str, float] = {}
+        self._refused: OrderedDict[str, None] = OrderedDict()
+        # Owners whose hosts did not answer the latest probe, with the time of that probe.
+        self._unanswered: dict[str, float] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._log = structlog.get_logger("hosts")
+
+    def is_gone(self, owner_id: str, since_s: float) -> bool:
+        """Return whether an owner is considered failed.
+
+        Args:
+            owner_id: A daemon's incarnation.
+            since_s: Monotonic time since which it has owned the job.
+        """
+        if owner_id in self._refused:
+            return True
+        probed_at_s = self._unanswered.get(owner_id, float("-inf"))
+        unanswered = self._clock.monotonic_s() - probed_at_s < _UNANSWERED_TTL_S
+        return self._beats.is_gone(owner_id, since_s, unanswered=unanswered)
+
+    def last_beat_if_silent(self, owner_id: str, since_s: float) -> Beat | None:
+        """Return the last heartbeat of an owner that should be probed, None if it is not silent."""
+        return self._beats.silent_owner(owner_id, since_s, _PROBE_AFTER_S)
+
+    def start_probe(self, beat: Beat) -> None:
+        """Probe the host of a silent owner, unless it was probed very recently."""
+        now_s = self._clock.monotonic_s()
+        if now_s - self._probed_at_s.get(beat.host, float("-inf")) < _PROBE_PERIOD_S:
+            return
+        self._probed_at_s[beat.host] = now_s
+        task = asyncio.get_running_loop().create_task(self._probe_owner(beat))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _probe_owner(self, beat: Beat) -> None:
+        answer = await self._probe.connect(beat.address)
+        now_s = self._clock.monotonic_s()
+        self._unanswered = {
+            owner_id: probed_at_s
+            for owner_id, probed_at_s in self._unanswered.items()
+            if owner_id != beat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
+        }
+        if answer is ProbeResult.NONE:
+            self._unanswered[beat.owner_id] = now_s
+            self._log.info(
+                "owner_unanswered",
+                owner=beat.owner_id,
+                address=beat.address,
+                view_age_s=round(self._beats.view_age_s(), 2),
+            )
+        if answer is not ProbeResult.REFUSED:
+            return
+        self._refused[beat.owner_id] = None
+        while len(self._refused) > _MAX_REFUSED:
+            self._refused.popitem(last=False)
+        self._log.info(
+            "owner_refuses",
+            owner=beat.owner_id,
+            address=beat.address,
+            view_age_s=round(self._beats.view_age_s(), 2),
+        )
