--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -23,19 +23,19 @@
 _WRITE_TIMEOUT_S = 1.5
 # Silence of a busy daemon after which it is taken for gone; shorter before its first beat as an
 # owner, which comes at once.
-_SILENCE_S = 1.8
-_FIRST_SILENCE_S = 1.0
+_BUSY_TIMEOUT_S = 1.8
+_FIRST_BEAT_TIMEOUT_S = 1.0
 # The same for a daemon whose host does not answer its peers either.
-_UNANSWERED_SILENCE_S = 1.0
+_UNANSWERED_TIMEOUT_S = 1.0
 # After the table was out of reach a living daemon's beat is back within this time.
-_BEAT_RETURN_S = 0.8
+_RECOVERY_GRACE_S = 0.8
 # An idle daemon that has not beaten for so long gets no work.
-_IDLE_SILENCE_S = 6.0
+_IDLE_TIMEOUT_S = 6.0
 # A view of the table older than this says nothing about anybody's silence.
-_STALE_VIEW_S = 1.6
+_MAX_VIEW_AGE_S = 1.6
 _POLL_S = 0.1
 # Shorter waits are over already.
-_LEAST_WAIT_S = 0.001
+_MIN_SLEEP_S = 0.001
 
 
 def host_of(owner_id: str) -> str:
@@ -59,7 +59,7 @@
         return f"{self.host}#{self.incarnation}"
 
 
-class _Seen:
+class _ReceivedBeat:
     __slots__ = ("at_s", "beat", "version")
 
     def __init__(self, beat: Beat, version: int, at_s: float) -> None:
@@ -83,14 +83,14 @@
     __slots__ = (
         "_busy",
         "_clock",
-        "_former",
+        "_feed_restored_at_s",
         "_log",
         "_own",
+        "_received",
+        "_replaced_owners",
         "_rng",
-        "_seen",
         "_store",
         "_version",
-        "_view_returned_at_s",
         "view_age_s",
     )
 
@@ -110,11 +110,11 @@
         self._rng = rng
         self._busy = busy
         self.view_age_s = view_age_s
-        self._seen: dict[str, _Seen] = {}
+        self._received: dict[str, _ReceivedBeat] = {}
         # Incarnations that another one of their host has replaced.
-        self._former: set[str] = set()
+        self._replaced_owners: set[str] = set()
         self._version = 0
-        self._view_returned_at_s = float("-inf")
+        self._feed_restored_at_s = float("-inf")
         self._log = structlog.get_logger("hosts")
 
     @property
@@ -126,39 +126,39 @@
         """Take in a row of the table."""
         host = row.row_id.key
         if row.value is None:
-            self._seen.pop(host, None)
+            self._received.pop(host, None)
             return
         try:
             beat = msgspec.json.decode(row.value, type=Beat)
         except msgspec.MsgspecError as error:
             self._log.warning("beat_unreadable", peer=host, error=str(error))
             return
-        known = self._seen.get(host)
-        if known is None or known.beat.incarnation != beat.incarnation:
+        previous = self._received.get(host)
+        if previous is None or previous.beat.incarnation != beat.incarnation:
             self._log.info("host_seen", peer=host, incarnation=beat.incarnation)
-            if known is not None:
-                self._former.add(known.beat.owner_id)
+            if previous is not None:
+                self._replaced_owners.add(previous.beat.owner_id)
         if host == self._own.host:
             self._version = max(self._version, row.version)
-        self._seen[host] = _Seen(beat, row.version, self._clock.monotonic_s())
+        self._received[host] = _ReceivedBeat(beat, row.version, self._clock.monotonic_s())
 
     def view_returned(self, silent_s: float) -> None:
         """Give everybody time to beat again after the table was out of reach."""
-        if silent_s > _STALE_VIEW_S / 2:
-            self._view_returned_at_s = self._clock.monotonic_s()
+        if silent_s > _MAX_VIEW_AGE_S / 2:
+            self._feed_restored_at_s = self._clock.monotonic_s()
 
     def others(self) -> Sequence[Beat]:
         """Return the other daemons that have beaten and have not said that they leave."""
         return [
-            seen.beat
-            for host, seen in self._seen.items()
-            if host != self._own.host and not seen.beat.leaving
+            received.beat
+            for host, received in self._received.items()
+            if host != self._own.host and not received.beat.leaving
         ]
 
     @property
     def view_is_fresh(self) -> bool:
         """Whether the table has been heard of lately."""
-        return self.view_age_s() <= _STALE_VIEW_S
+        return self.view_age_s() <= _MAX_VIEW_AGE_S
 
     def neighbours(self) -> Sequence[Beat]:
         """Return the daemons of this availability zone that have beaten lately."""
@@ -167,7 +167,7 @@
             beat
             for beat in self.others()
             if beat.location.zone == self._own.location.zone
-            and now_s - self._seen[beat.host].at_s <= _IDLE_SILENCE_S
+            and now_s - self._received[beat.host].at_s <= _IDLE_TIMEOUT_S
         ]
 
     def is_gone(self, owner_id: str, since_s: float, *, unanswered: bool = False) -> bool:
@@ -181,22 +181,26 @@
         host, _, incarnation = owner_id.partition("#")
         if host == self._own.host:
             return incarnation != self._own.incarnation
-        if owner_id in self._former:
+        if owner_id in self._replaced_owners:
             return True
-        seen = self._seen.get(host)
-        if seen is not None and seen.beat.incarnation != incarnation:
+        received = self._received.get(host)
+        if received is not None and received.beat.incarnation != incarnation:
             # A process that has started anew and whose first beat is still on its way.
-            seen = None
-        if seen is not None and seen.beat.leaving:
+            received = None
+        if received is not None and received.beat.leaving:
             return True
         now_s = self._clock.monotonic_s()
-        if now_s - self._view_returned_at_s < (_BEAT_RETURN_S if unanswered else _SILENCE_S):
+        if now_s - self._feed_restored_at_s < (
+            _RECOVERY_GRACE_S if unanswered else _BUSY_TIMEOUT_S
+        ):
             return False
         # Only silence that the feed has borne out counts.
-        heard_s = now_s - self.view_age_s()
-        if seen is None or seen.at_s <= since_s:
-            return heard_s - since_s > _FIRST_SILENCE_S
-        return heard_s - seen.at_s > (_UNANSWERED_SILENCE_S if unanswered else _SILENCE_S)
+        last_heard_s = now_s - self.view_age_s()
+        if received is None or received.at_s <= since_s:
+            return last_heard_s - since_s > _FIRST_BEAT_TIMEOUT_S
+        return last_heard_s - received.at_s > (
+            _UNANSWERED_TIMEOUT_S if unanswered else _BUSY_TIMEOUT_S
+        )
 
     def silent_owner(self, owner_id: str, since_s: float, silence_s: float) -> Beat | None:
         """Return the last beat of an owner that has not been heard of for *silence_s*, else None.
@@ -204,16 +208,16 @@
         Unlike ``is_gone`` this counts silence of the table as well, and proves nothing.
         """
         host, _, incarnation = owner_id.partition("#")
-        seen = self._seen.get(host)
-        if seen is None or seen.beat.incarnation != incarnation:
+        received = self._received.get(host)
+        if received is None or received.beat.incarnation != incarnation:
             return None
-        heard_s = max(seen.at_s, since_s)
-        return seen.beat if self._clock.monotonic_s() - heard_s > silence_s else None
+        last_heard_s = max(received.at_s, since_s)
+        return received.beat if self._clock.monotonic_s() - last_heard_s > silence_s else None
 
     def claimants(self, gone: Collection[str]) -> Sequence[str]:
         """Return the hosts that may take over, this one included, without the *gone* ones."""
-        names = {beat.host for beat in self.others()} | {self._own.host}
-        return sorted(names - set(gone))
+        hosts = {beat.host for beat in self.others()} | {self._own.host}
+        return sorted(hosts - set(gone))
 
     async def run(self) -> None:
         """Beat until cancelled."""
@@ -221,8 +225,8 @@
             await self.beat()
             period_s = _BUSY_PERIOD_S if self._busy() else _IDLE_PERIOD_S
             ends_at_s = self._clock.monotonic_s() + period_s * self._rng.uniform(0.8, 1.0)
-            while (left_s := ends_at_s - self._clock.monotonic_s()) > _LEAST_WAIT_S:
-                await self._clock.sleep(min(_POLL_S, left_s))
+            while (remaining_s := ends_at_s - self._clock.monotonic_s()) > _MIN_SLEEP_S:
+                await self._clock.sleep(min(_POLL_S, remaining_s))
                 if period_s == _IDLE_PERIOD_S and self._busy():
                     break
 
--- a/src/verbenawind/state/clients.py
+++ b/src/verbenawind/state/clients.py
@@ -7,20 +7,20 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import ConditionFailed, StoreUnavailable
 from verbenawind.kernel.ports import ObjectStore, Row, TableStore, Transaction, Write
-from verbenawind.state.gate import RefusedAfterLoss, StoreGate
+from verbenawind.state.gate import RejectedAfterLostReply, StoreCallRunner
 
-__all__ = ["Effect", "ObjectClient", "TableClient", "effect_of"]
+__all__ = ["Effect", "ObjectClient", "TableClient", "infer_effect"]
 
 
 class Effect(Enum):
     """What the rows tell of an earlier attempt of a transaction."""
 
-    TAKEN = "taken"
-    NOT_TAKEN = "not_taken"
+    APPLIED = "taken"
+    NOT_APPLIED = "not_taken"
     UNKNOWN = "unknown"
 
 
-def effect_of(transaction: Transaction, rows: Mapping[str, Row]) -> Effect:
+def infer_effect(transaction: Transaction, rows: Mapping[str, Row]) -> Effect:
     """Judge by the rows, read after a refusal, whether an attempt had taken effect.
 
     A transaction takes effect whole, so one row can settle it. Row versions rise by one with each
@@ -28,26 +28,24 @@
     one above was written by whoever it names. Higher versions hide who wrote before. Rows must
     not be deleted and written anew while a transaction on them is being resolved.
     """
-    verdicts = [
-        _row_effect(transaction, write, rows.get(write.key)) for write in transaction.writes
-    ]
-    if Effect.TAKEN in verdicts:
-        return Effect.TAKEN
-    if Effect.NOT_TAKEN in verdicts:
-        return Effect.NOT_TAKEN
+    effects = [_row_effect(transaction, write, rows.get(write.key)) for write in transaction.writes]
+    if Effect.APPLIED in effects:
+        return Effect.APPLIED
+    if Effect.NOT_APPLIED in effects:
+        return Effect.NOT_APPLIED
     return Effect.UNKNOWN
 
 
 def _row_effect(transaction: Transaction, write: Write, row: Row | None) -> Effect:
     if row is not None and row.operation_id == transaction.operation_id:
-        return Effect.TAKEN
+        return Effect.APPLIED
     if write.check_only or write.expect_version is None:
         return Effect.UNKNOWN
     version = row.version if row else 0
     if version <= write.expect_version and (row is not None or write.value is not None):
-        return Effect.NOT_TAKEN
+        return Effect.NOT_APPLIED
     if version == write.expect_version + 1 and write.value is not None:
-        return Effect.NOT_TAKEN
+        return Effect.NOT_APPLIED
     return Effect.UNKNOWN
 
 
@@ -60,20 +58,20 @@
         rng: Jitter of the retries.
     """
 
-    __slots__ = ("_gate", "_store")
+    __slots__ = ("_calls", "_store")
 
     def __init__(self, store: TableStore, clock: Clock, rng: Random) -> None:
         self._store = store
-        self._gate = StoreGate("table service", clock, rng)
+        self._calls = StoreCallRunner("table service", clock, rng)
 
     async def read(self, keys: Sequence[str]) -> Mapping[str, Row]:
         """Return the rows that exist among *keys*."""
-        what = f"read of {len(keys)} rows from {keys[0]!r}" if keys else "read of no rows"
-        return await self._gate.call(what, lambda: self._store.read(keys))
+        description = f"read of {len(keys)} rows from {keys[0]!r}" if keys else "read of no rows"
+        return await self._calls.call(description, lambda: self._store.read(keys))
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
         """Return rows below *prefix* that sort after *after*."""
-        return await self._gate.call(
+        return await self._calls.call(
             f"scan of {prefix!r}", lambda: self._store.scan(prefix, after=after, limit=limit)
         )
 
@@ -88,27 +86,29 @@
             StoreUnavailable: No answer, or one that cannot be resolved; ``effect_possible`` says
                 whether it may have taken effect.
         """
-        what = f"commit {transaction.operation_id}"
+        description = f"commit {transaction.operation_id}"
         try:
-            await self._gate.call(what, lambda: self._store.commit(transaction), writes=True)
-        except RefusedAfterLoss as error:
-            await self._resolve(transaction, error.refusal)
+            await self._calls.call(
+                description, lambda: self._store.commit(transaction), writes=True
+            )
+        except RejectedAfterLostReply as error:
+            await self._resolve(transaction, error.rejection)
 
-    async def _resolve(self, transaction: Transaction, refusal: ConditionFailed) -> None:
-        what = f"commit {transaction.operation_id}"
+    async def _resolve(self, transaction: Transaction, rejection: ConditionFailed) -> None:
+        description = f"commit {transaction.operation_id}"
         try:
             rows = await self.read([write.key for write in transaction.writes])
         except StoreUnavailable as error:
             raise StoreUnavailable(
-                f"{what}: a lost answer could not be resolved: {error.message}",
+                f"{description}: a lost answer could not be resolved: {error.message}",
                 effect_possible=True,
             ) from error
-        effect = effect_of(transaction, rows)
-        if effect is Effect.NOT_TAKEN:
-            raise refusal
+        effect = infer_effect(transaction, rows)
+        if effect is Effect.NOT_APPLIED:
+            raise rejection
         if effect is Effect.UNKNOWN:
             raise StoreUnavailable(
-                f"{what}: an answer was lost and later writes hide its effect",
+                f"{description}: an answer was lost and later writes hide its effect",
                 effect_possible=True,
             )
 
@@ -122,20 +122,20 @@
         rng: Jitter of the retries.
     """
 
-    __slots__ = ("_gate", "_store")
+    __slots__ = ("_calls", "_store")
 
     def __init__(self, store: ObjectStore, clock: Clock, rng: Random) -> None:
         self._store = store
-        self._gate = StoreGate("object store", clock, rng)
+        self._calls = StoreCallRunner("object store", clock, rng)
 
     async def put(self, key: str, data: bytes) -> None:
         """Store *data* under *key*."""
-        await self._gate.call(f"put of {key!r}", lambda: self._store.put(key, data), writes=True)
+        await self._calls.call(f"put of {key!r}", lambda: self._store.put(key, data), writes=True)
 
     async def get(self, key: str) -> bytes | None:
         """Return the object, None when absent."""
-        return await self._gate.call(f"get of {key!r}", lambda: self._store.get(key))
+        return await self._calls.call(f"get of {key!r}", lambda: self._store.get(key))
 
     async def delete(self, key: str) -> None:
         """Remove an object."""
-        await self._gate.call(f"delete of {key!r}", lambda: self._store.delete(key), writes=True)
+        await self._calls.call(f"delete of {key!r}", lambda: self._store.delete(key), writes=True)
--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -28,7 +28,7 @@
 
 _PREFIX = "config/"
 _SCAN_LIMIT = 1000
-_UNINFORMED_PERIOD_S = 2.0
+_INITIAL_PERIOD_S = 2.0
 _MIN_PERIOD_S = 5.0
 _PERIOD_PER_DAEMON_S = 0.5
 
@@ -91,8 +91,8 @@
         """Put a revision into force unless a newer one is known; return whether it was new."""
         key = (revision.environment, str(revision.stage))
         self._informed = True
-        known = self._current.get(key)
-        if known is not None and known.revision >= revision.revision:
+        previous = self._current.get(key)
+        if previous is not None and previous.revision >= revision.revision:
             return False
         self._current[key] = revision
         self._log.info(
@@ -113,7 +113,7 @@
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
             for row in rows:
-                self.learn(_decode(row))
+                self.learn(_decode_revision(row))
             if len(rows) < _SCAN_LIMIT:
                 break
             after = rows[-1].key
@@ -122,7 +122,7 @@
     async def run(self) -> None:
         """Follow the table until cancelled; the more daemons there are, the rarer each asks."""
         while True:
-            await self._clock.sleep(self._period_s() * self._rng.uniform(0.75, 1.25))
+            await self._clock.sleep(self._poll_period_s() * self._rng.uniform(0.75, 1.25))
             self._spreader.tick()
             try:
                 await self.refresh()
@@ -148,7 +148,7 @@
                 document may have been accepted all the same.
         """
         head = await self._head(document.environment, stage)
-        current = _decode(head) if head else None
+        current = _decode_revision(head) if head else None
         number = current.revision if current else 0
         digest = document_digest(document)
         if expect_revision is not None and expect_revision != number:
@@ -168,7 +168,7 @@
         try:
             await self._commit(revision, head)
         except ConditionFailed as error:
-            raise await self._overtaken(document, stage, number + 1) from error
+            raise await self._conflict_after_race(document, stage, number + 1) from error
         self.learn(revision, "the operator")
         return revision
 
@@ -178,7 +178,7 @@
         revisions: list[EnvironmentRevision] = []
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
-            revisions += [_decode(row) for row in rows]
+            revisions += [_decode_revision(row) for row in rows]
             if len(rows) < _SCAN_LIMIT:
                 return revisions
             after = rows[-1].key
@@ -193,7 +193,7 @@
         row = (await self._table.read([key])).get(key)
         if row is None:
             raise UnknownEnvironment(f"{environment}/{stage} has no revision {number}")
-        return _decode(row)
+        return _decode_revision(row)
 
     async def _head(self, environment: str, stage: Stage) -> Row | None:
         key = _head_key(environment, stage)
@@ -217,7 +217,7 @@
         )
         await self._table.commit(Transaction(operation_id=new_id("op"), writes=writes))
 
-    async def _overtaken(
+    async def _conflict_after_race(
         self, document: EnvironmentDocument, stage: Stage, number: int
     ) -> RevisionConflict:
         try:
@@ -228,7 +228,7 @@
                 "operator first",
                 current_revision=number,
             )
-        return self._conflict(document, stage, _decode(head) if head else None)
+        return self._conflict(document, stage, _decode_revision(head) if head else None)
 
     def _conflict(
         self, document: EnvironmentDocument, stage: Stage, current: EnvironmentRevision | None
@@ -244,9 +244,9 @@
             difference="\n".join(str(change) for change in changes),
         )
 
-    def _period_s(self) -> float:
+    def _poll_period_s(self) -> float:
         if not self._informed:
-            return _UNINFORMED_PERIOD_S
+            return _INITIAL_PERIOD_S
         return max(_MIN_PERIOD_S, _PERIOD_PER_DAEMON_S * (len(self._peers.peers()) + 1))
 
 
@@ -258,5 +258,5 @@
     return f"{_PREFIX}history/{environment}/{stage}/{number:010}"
 
 
-def _decode(row: Row) -> EnvironmentRevision:
+def _decode_revision(row: Row) -> EnvironmentRevision:
     return msgspec.json.decode(row.value, type=EnvironmentRevision)
--- a/src/verbenawind/state/following.py
+++ b/src/verbenawind/state/following.py
@@ -11,15 +11,15 @@
 
 __all__ = ["FEED_PAUSE_S", "FEED_WAIT_S", "TableFollower"]
 
-_READ_TIMEOUT_S = 3.0
+_SCAN_TIMEOUT_S = 3.0
 # How long a call is held usually; a silent connection is noticed soon after.
 FEED_WAIT_S = 1.0
 # The usual pause between calls that brought rows.
 FEED_PAUSE_S = 0.2
-_FIRST_PAUSE_S = 0.1
-_MAX_PAUSE_S = 0.5
+_MIN_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 0.5
 # A silence of the feed beyond its wait that is worth a log line.
-_SILENCE_S = 2.0
+_LOGGED_SILENCE_S = 2.0
 
 
 class TableFollower:
@@ -38,14 +38,14 @@
 
     __slots__ = (
         "_clock",
-        "_heard_at_s",
-        "_known",
+        "_last_response_at_s",
         "_listener",
         "_log",
-        "_on_return",
         "_partitioned",
         "_pause_s",
+        "_restored_listeners",
         "_rng",
+        "_row_versions",
         "_store",
         "_table",
         "_version",
@@ -73,31 +73,31 @@
         self._partitioned = partitioned
         self._pause_s = pause_s
         self._wait_s = wait_s
-        self._known: dict[RowId, int] = {}
+        self._row_versions: dict[RowId, int] = {}
         self._version: int | None = None
-        self._heard_at_s = clock.monotonic_s()
-        self._on_return: list[Callable[[float], None]] = []
+        self._last_response_at_s = clock.monotonic_s()
+        self._restored_listeners: list[Callable[[float], None]] = []
         self._log = structlog.get_logger("feed")
         self.informed = False
 
     def age_s(self) -> float:
         """Return for how long the table has not been heard of, in seconds."""
-        return self._clock.monotonic_s() - self._heard_at_s
+        return self._clock.monotonic_s() - self._last_response_at_s
 
     def on_return(self, listener: Callable[[float], None]) -> None:
         """Call *listener* with the length of a silence when the feed is heard again."""
-        self._on_return.append(listener)
+        self._restored_listeners.append(listener)
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
-        pause_s = _FIRST_PAUSE_S
+        pause_s = _MIN_BACKOFF_S
         while True:
             try:
                 if self._version is None:
-                    await self._read_whole()
+                    await self._read_table()
                 else:
                     await self._read_changes(self._version)
-                pause_s = _FIRST_PAUSE_S
+                pause_s = _MIN_BACKOFF_S
                 self.informed = True
             except HistoryLost:
                 self._log.warning("feed_history_lost", table=self._table, version=self._version)
@@ -110,55 +110,57 @@
                     age_s=round(self.age_s(), 2),
                 )
                 await self._clock.sleep(pause_s * self._rng.uniform(0.5, 1.0))
-                pause_s = min(_MAX_PAUSE_S, 2 * pause_s)
+                pause_s = min(_MAX_BACKOFF_S, 2 * pause_s)
 
-    async def _read_whole(self) -> None:
+    async def _read_table(self) -> None:
         """Read every row, and report as removed those that are gone since."""
-        parts = [""]
+        partitions = [""]
         version: int | None = None
         if self._partitioned:
             # Changes after this read are repeated by the feed; taking a row in twice is harmless.
-            marker = await self._store.rows(self._table, "", _READ_TIMEOUT_S, limit=1)
-            version = marker.version
-            parts = list(await self._store.parts(self._table, _READ_TIMEOUT_S))
-        found: dict[RowId, StoredRow] = {}
-        for part in parts:
-            first, more = "", True
+            first_page = await self._store.rows(self._table, "", _SCAN_TIMEOUT_S, limit=1)
+            version = first_page.version
+            partitions = list(await self._store.parts(self._table, _SCAN_TIMEOUT_S))
+        current_rows: dict[RowId, StoredRow] = {}
+        for partition in partitions:
+            start_key, more = "", True
             while more:
-                page = await self._store.rows(self._table, part, _READ_TIMEOUT_S, first=first)
+                page = await self._store.rows(
+                    self._table, partition, _SCAN_TIMEOUT_S, first=start_key
+                )
                 version = page.version if version is None else version
-                found.update({row.row_id: row for row in page.rows})
+                current_rows.update({row.row_id: row for row in page.rows})
                 more = page.has_more and bool(page.rows)
-                first = page.rows[-1].row_id.key + "\0" if page.rows else ""
-        self._heard()
-        for row_id in [row_id for row_id in self._known if row_id not in found]:
-            self._take(StoredRow(row_id=row_id, value=None, version=version or 0))
-        for row in found.values():
-            self._take(row)
+                start_key = page.rows[-1].row_id.key + "\0" if page.rows else ""
+        self._response_received()
+        for row_id in [row_id for row_id in self._row_versions if row_id not in current_rows]:
+            self._apply_row(StoredRow(row_id=row_id, value=None, version=version or 0))
+        for row in current_rows.values():
+            self._apply_row(row)
         self._version = version
 
     async def _read_changes(self, after: int) -> None:
         changes = await self._store.changes(self._table, after, self._wait_s)
-        self._heard()
+        self._response_received()
         for row in changes.rows:
-            self._take(row)
+            self._apply_row(row)
         self._version = max(after, changes.version)
         if changes.rows:
             await self._clock.sleep(self._pause_s * self._rng.uniform(0.7, 1.0))
 
-    def _take(self, row: StoredRow) -> None:
-        if row.version < self._known.get(row.row_id, 0):
+    def _apply_row(self, row: StoredRow) -> None:
+        if row.version < self._row_versions.get(row.row_id, 0):
             return
         if row.value is None:
-            self._known.pop(row.row_id, None)
+            self._row_versions.pop(row.row_id, None)
         else:
-            self._known[row.row_id] = row.version
+            self._row_versions[row.row_id] = row.version
         self._listener(row)
 
-    def _heard(self) -> None:
+    def _response_received(self) -> None:
         silent_s = self.age_s()
-        self._heard_at_s = self._clock.monotonic_s()
-        if silent_s > self._wait_s + _SILENCE_S:
+        self._last_response_at_s = self._clock.monotonic_s()
+        if silent_s > self._wait_s + _LOGGED_SILENCE_S:
             self._log.info("feed_regained", table=self._table, silent_s=round(silent_s, 2))
-        for listener in self._on_return:
+        for listener in self._restored_listeners:
             listener(silent_s - self._wait_s)
--- a/src/verbenawind/state/gate.py
+++ b/src/verbenawind/state/gate.py
@@ -10,7 +10,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import ConditionFailed, StoreUnavailable
 
-__all__ = ["CircuitBreaker", "RefusedAfterLoss", "RetryBudget", "StoreGate"]
+__all__ = ["CircuitBreaker", "RejectedAfterLostReply", "RetryBudget", "StoreCallRunner"]
 
 T = TypeVar("T")
 
@@ -19,23 +19,23 @@
 _CALL_TIMEOUT_S = 8.0
 _ATTEMPTS = 4
 _BACKOFF_S = 0.05
-_BUDGET_TOKENS = 20.0
+_MAX_BUDGET_TOKENS = 20.0
 _TOKENS_PER_CALL = 0.5
 _FAILURES_TO_OPEN = 8
 _MIN_OPEN_S = 0.5
 _MAX_OPEN_S = 5.0
 
 
-class RefusedAfterLoss(Exception):
+class RejectedAfterLostReply(Exception):
     """Raised when a commit is refused after the answer of an earlier attempt was lost.
 
     Args:
         refusal: The refusal, which an earlier attempt that took effect may have caused.
     """
 
-    def __init__(self, refusal: ConditionFailed) -> None:
-        super().__init__(refusal.message)
-        self.refusal = refusal
+    def __init__(self, rejection: ConditionFailed) -> None:
+        super().__init__(rejection.message)
+        self.rejection = rejection
 
 
 class RetryBudget:
@@ -44,13 +44,13 @@
     __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
-        self._tokens = _BUDGET_TOKENS
+        self._tokens = _MAX_BUDGET_TOKENS
 
-    def earn(self) -> None:
+    def record_call(self) -> None:
         """Record a first attempt."""
-        self._tokens = min(_BUDGET_TOKENS, self._tokens + _TOKENS_PER_CALL)
+        self._tokens = min(_MAX_BUDGET_TOKENS, self._tokens + _TOKENS_PER_CALL)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry out of the budget, if there is one."""
         if self._tokens < 1.0:
             return False
@@ -84,7 +84,7 @@
             return self._open_s
         return max(0.0, self._open_until_s - self._clock.monotonic_s())
 
-    def begin(self) -> None:
+    def started(self) -> None:
         """Record that a call goes out; an open breaker lets only this one through."""
         self._probing = self._failures >= _FAILURES_TO_OPEN
 
@@ -104,12 +104,12 @@
         self._open_until_s = self._clock.monotonic_s() + jittered_s
         self._open_s = min(_MAX_OPEN_S, 2 * self._open_s)
 
-    def abandoned(self) -> None:
+    def cancelled(self) -> None:
         """Record that a call was cancelled and tells nothing of the store."""
         self._probing = False
 
 
-class StoreGate:
+class StoreCallRunner:
     """Runs the calls of one store.
 
     Args:
@@ -142,10 +142,10 @@
         """
         uncertain = False
         ends_at_s = self._clock.monotonic_s() + _CALL_TIMEOUT_S
-        self._budget.earn()
+        self._budget.record_call()
         for number in range(_ATTEMPTS):
             remaining_s = ends_at_s - self._clock.monotonic_s()
-            if number > 0 and (remaining_s <= 0 or not self._budget.spend()):
+            if number > 0 and (remaining_s <= 0 or not self._budget.try_spend()):
                 break
             try:
                 return await self._attempt(what, attempt, remaining_s)
@@ -154,7 +154,7 @@
                 reason, retry_after_s = error.message, error.retry_after_s
             except ConditionFailed as error:
                 if uncertain:
-                    raise RefusedAfterLoss(error) from error
+                    raise RejectedAfterLostReply(error) from error
                 raise
             if retry_after_s is not None:
                 break
@@ -174,13 +174,13 @@
                 effect_possible=False,
                 retry_after_s=wait_s,
             )
-        await self._take_slot(what, limit_s)
+        await self._acquire_slot(what, limit_s)
         try:
             return await self._run(what, attempt, limit_s)
         finally:
             self._slots.release()
 
-    async def _take_slot(self, what: str, limit_s: float) -> None:
+    async def _acquire_slot(self, what: str, limit_s: float) -> None:
         try:
             async with asyncio.timeout(limit_s):
                 await self._slots.acquire()
@@ -191,7 +191,7 @@
 
     async def _run(self, what: str, attempt: Callable[[], Awaitable[T]], limit_s: float) -> T:
         timeout_s = min(_ATTEMPT_TIMEOUT_S, limit_s)
-        self._breaker.begin()
+        self._breaker.started()
         try:
             async with asyncio.timeout(timeout_s):
                 result = await attempt()
@@ -204,7 +204,7 @@
             self._breaker.failed()
             raise
         except asyncio.CancelledError:
-            self._breaker.abandoned()
+            self._breaker.cancelled()
             raise
         except Exception:
             self._breaker.succeeded()
--- a/src/verbenawind/state/leases.py
+++ b/src/verbenawind/state/leases.py
@@ -15,14 +15,14 @@
 
 __all__ = ["HeldLease", "LeaseManager"]
 
-_DRIFT_FRACTION = 0.1
+_CLOCK_DRIFT_FRACTION = 0.1
 _RENEWALS_PER_DURATION = 3
-_MIN_RENEWAL_PAUSE_S = 0.1
-_MAX_RENEWAL_PAUSE_S = 0.5
-_RENEWED_TOGETHER_S = 1.0
+_MIN_RENEWAL_SLEEP_S = 0.1
+_MAX_RENEWAL_SLEEP_S = 0.5
+_RENEWAL_BATCH_WINDOW_S = 1.0
 
 
-class _Holder(msgspec.Struct, frozen=True):
+class _GuardRecord(msgspec.Struct, frozen=True):
     """The guard row's value; it changes only when the holder does."""
 
     owner: str
@@ -31,7 +31,7 @@
     session: str = ""
 
 
-class _Beat(msgspec.Struct, frozen=True):
+class _HeartbeatRecord(msgspec.Struct, frozen=True):
     """The heartbeat row's value; ``beat`` rises with each renewal."""
 
     fencing_number: int
@@ -61,7 +61,7 @@
         name: str,
         fencing_number: int,
         row_version: int,
-        asked_at_s: float,
+        requested_at_s: float,
         duration_s: float,
     ) -> None:
         self._manager = manager
@@ -71,7 +71,7 @@
         self._row_version = row_version
         self.beat = 0
         self.duration_s = duration_s
-        self.extend(asked_at_s)
+        self.extend(requested_at_s)
 
     @property
     def name(self) -> str:
@@ -106,16 +106,16 @@
         """Give the lease back."""
         await self._manager.release(self)
 
-    def extend(self, asked_at_s: float) -> None:
+    def extend(self, requested_at_s: float) -> None:
         """Record an acquisition or renewal that was asked for at a monotonic time.
 
         Contenders wait the whole duration from when they saw the beat, which is later; the margin
         covers clocks that run at rates up to a tenth apart.
         """
-        self._ends_at_s = asked_at_s + self.duration_s * (1 - _DRIFT_FRACTION)
-        self.renew_at_s = asked_at_s + self.duration_s / _RENEWALS_PER_DURATION
+        self._ends_at_s = requested_at_s + self.duration_s * (1 - _CLOCK_DRIFT_FRACTION)
+        self.renew_at_s = requested_at_s + self.duration_s / _RENEWALS_PER_DURATION
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Record that the lease is gone."""
         self._ends_at_s = float("-inf")
 
@@ -155,7 +155,7 @@
         self._contention = Contention(clock, rng, peers, zone, expects_peers=expects_peers)
         self._held: dict[str, HeldLease] = {}
         self._acquiring: set[str] = set()
-        self._renewing: asyncio.Task[None] | None = None
+        self._renewal_task: asyncio.Task[None] | None = None
         self._log = structlog.get_logger("state")
 
     async def acquire(
@@ -177,7 +177,7 @@
         try:
             return await self._try_acquire(name, duration_s, zone_only, guarded)
         except (ConditionFailed, StoreUnavailable) as error:
-            self._contention.failed(name)
+            self._contention.read_or_commit_failed(name)
             self._log.info("lease_not_acquired", lease=name, reason=error.message)
             return None
         finally:
@@ -188,8 +188,8 @@
         if self._held.get(lease.name) is not lease:
             return
         del self._held[lease.name]
-        lease.lose()
-        holder = _Holder(self._owner, lease.fencing_number, True, self._session)
+        lease.mark_lost()
+        holder = _GuardRecord(self._owner, lease.fencing_number, True, self._session)
         write = Write(
             key=lease.row_key,
             value=msgspec.json.encode(holder),
@@ -213,34 +213,36 @@
     async def _try_acquire(
         self, name: str, duration_s: float, zone_only: bool, guarded: bool
     ) -> Lease | None:
-        asked_at_s = self._clock.monotonic_s()
-        rows = await self._table.read([_guard_key(name), _beat_key(name)])
-        guard, beat = rows.get(_guard_key(name)), rows.get(_beat_key(name))
-        if not self._free(name, guard, beat, duration_s, zone_only=zone_only, guarded=guarded):
+        requested_at_s = self._clock.monotonic_s()
+        rows = await self._table.read([_guard_key(name), _heartbeat_key(name)])
+        guard, beat = rows.get(_guard_key(name)), rows.get(_heartbeat_key(name))
+        if not self._can_acquire(
+            name, guard, beat, duration_s, zone_only=zone_only, guarded=guarded
+        ):
             return None
-        fencing_number = (_holder(guard).fencing_number if guard else 0) + 1
+        fencing_number = (_decode_holder(guard).fencing_number if guard else 0) + 1
         await self._commit(
             Write(
                 key=_guard_key(name),
                 value=msgspec.json.encode(
-                    _Holder(self._owner, fencing_number, session=self._session)
+                    _GuardRecord(self._owner, fencing_number, session=self._session)
                 ),
                 expect_version=guard.version if guard else 0,
             ),
-            _beat_write(name, _Beat(fencing_number, 0, duration_s)),
+            _heartbeat_write(name, _HeartbeatRecord(fencing_number, 0, duration_s)),
         )
         row_version = (guard.version if guard else 0) + 1
         lease = HeldLease(
-            self, self._clock, name, fencing_number, row_version, asked_at_s, duration_s
+            self, self._clock, name, fencing_number, row_version, requested_at_s, duration_s
         )
         self._held[name] = lease
-        self._contention.won(name)
+        self._contention.acquired(name)
         self._contention.announce(name, fencing_number, held=True)
         self._log.info("lease_acquired", lease=name, fencing_number=fencing_number)
-        self._keep_renewing()
+        self._ensure_renewing()
         return lease
 
-    def _free(
+    def _can_acquire(
         self,
         name: str,
         guard: Row | None,
@@ -252,13 +254,13 @@
     ) -> bool:
         if guard is None:
             return True
-        holder = _holder(guard)
+        holder = _decode_holder(guard)
         if holder.released or holder.session == self._session:
             # An earlier acquisition or release of this process whose answer was lost: nobody
             # acts under it, and the next fencing number makes a late write of it fail.
             return True
         if beat is not None:
-            duration_s = msgspec.json.decode(beat.value, type=_Beat).duration_s
+            duration_s = msgspec.json.decode(beat.value, type=_HeartbeatRecord).duration_s
         version = beat.version if beat else 0
         return self._contention.lapsed(
             name,
@@ -269,44 +271,48 @@
             guarded=guarded,
         )
 
-    def _keep_renewing(self) -> None:
-        if self._renewing is None or self._renewing.done():
-            self._renewing = asyncio.get_running_loop().create_task(self._renew())
+    def _ensure_renewing(self) -> None:
+        if self._renewal_task is None or self._renewal_task.done():
+            self._renewal_task = asyncio.get_running_loop().create_task(self._renew())
 
     def _stop_renewing(self) -> None:
         for lease in self._held.values():
-            lease.lose()
+            lease.mark_lost()
         self._held.clear()
-        if self._renewing is not None:
-            self._renewing.cancel()
+        if self._renewal_task is not None:
+            self._renewal_task.cancel()
 
     async def _renew(self) -> None:
         while self._held:
             now_s = self._clock.monotonic_s()
-            next_s = min(lease.renew_at_s for lease in self._held.values())
-            pause_s = min(_MAX_RENEWAL_PAUSE_S, max(_MIN_RENEWAL_PAUSE_S, next_s - now_s))
-            await self._clock.sleep(pause_s)
+            earliest_renewal_s = min(lease.renew_at_s for lease in self._held.values())
+            sleep_s = min(
+                _MAX_RENEWAL_SLEEP_S, max(_MIN_RENEWAL_SLEEP_S, earliest_renewal_s - now_s)
+            )
+            await self._clock.sleep(sleep_s)
             now_s = self._clock.monotonic_s()
             if not any(lease.renew_at_s <= now_s for lease in self._held.values()):
                 continue
             due = [
                 lease
                 for lease in self._held.values()
-                if lease.renew_at_s <= now_s + _RENEWED_TOGETHER_S
+                if lease.renew_at_s <= now_s + _RENEWAL_BATCH_WINDOW_S
             ]
             self._drop_lapsed(due)
             held = [lease for lease in due if self._held.get(lease.name) is lease]
             if held:
-                await self._renew_together(held)
+                await self._renew_batch(held)
 
-    async def _renew_together(self, leases: Sequence[HeldLease]) -> None:
-        asked_at_s = self._clock.monotonic_s()
+    async def _renew_batch(self, leases: Sequence[HeldLease]) -> None:
+        requested_at_s = self._clock.monotonic_s()
         writes: list[Write] = []
         for lease in leases:
             lease.beat += 1
             writes += [
                 Write(key=lease.row_key, expect_version=lease.row_version, check_only=True),
-                _beat_write(lease.name, _Beat(lease.fencing_number, lease.beat, lease.duration_s)),
+                _heartbeat_write(
+                    lease.name, _HeartbeatRecord(lease.fencing_number, lease.beat, lease.duration_s)
+                ),
             ]
         try:
             await self._commit(*writes)
@@ -317,7 +323,7 @@
         else:
             for lease in leases:
                 if lease.remaining_s() > 0:
-                    lease.extend(asked_at_s)
+                    lease.extend(requested_at_s)
 
     def _drop_lapsed(self, leases: Sequence[HeldLease]) -> None:
         lapsed = {lease.row_key for lease in leases if lease.remaining_s() <= 0}
@@ -328,7 +334,7 @@
             if lease.row_key not in row_keys or self._held.get(lease.name) is not lease:
                 continue
             del self._held[lease.name]
-            lease.lose()
+            lease.mark_lost()
             self._log.warning("lease_lost", lease=lease.name, reason=reason)
             self._contention.announce(lease.name, lease.fencing_number, held=False)
 
@@ -336,17 +342,17 @@
         await self._table.commit(Transaction(operation_id=new_id("op"), writes=writes))
 
 
-def _beat_write(name: str, beat: _Beat) -> Write:
-    return Write(key=_beat_key(name), value=msgspec.json.encode(beat))
+def _heartbeat_write(name: str, beat: _HeartbeatRecord) -> Write:
+    return Write(key=_heartbeat_key(name), value=msgspec.json.encode(beat))
 
 
 def _guard_key(name: str) -> str:
     return f"lease/{name}/guard"
 
 
-def _beat_key(name: str) -> str:
+def _heartbeat_key(name: str) -> str:
     return f"lease/{name}/beat"
 
 
-def _holder(row: Row) -> _Holder:
-    return msgspec.json.decode(row.value, type=_Holder)
+def _decode_holder(row: Row) -> _GuardRecord:
+    return msgspec.json.decode(row.value, type=_GuardRecord)
--- a/src/verbenawind/state/relay.py
+++ b/src/verbenawind/state/relay.py
@@ -17,9 +17,9 @@
 
 _CONNECT_TIMEOUT_S = 0.5
 # A peer that failed a call is asked last for so long.
-_AVOID_S = 1.5
-_REPLY_SLACK_S = 0.1
-_MAX_CALLS_AT_ONCE = 64
+_PEER_COOLDOWN_S = 1.5
+_REPLY_MARGIN_S = 0.1
+_MAX_CONCURRENT_CALLS = 64
 
 
 class StoreCall(msgspec.Struct, frozen=True, kw_only=True):
@@ -59,38 +59,38 @@
         direct: Makes a call of the store.
     """
 
-    __slots__ = ("_direct", "_log", "relayed")
+    __slots__ = ("_call_store", "_log", "relayed")
 
-    def __init__(self, direct: Callable[[StoreCall], Awaitable[StoreReply]]) -> None:
-        self._direct = direct
+    def __init__(self, call_store: Callable[[StoreCall], Awaitable[StoreReply]]) -> None:
+        self._call_store = call_store
         self._log = structlog.get_logger("relay")
         self.relayed = 0
 
     async def serve(self, channel: PeerChannel) -> None:
         """Serve a peer until it closes the channel."""
-        room = asyncio.Semaphore(_MAX_CALLS_AT_ONCE)
+        slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
         try:
             async with asyncio.TaskGroup() as tasks:
                 while True:
                     data = await channel.receive()
                     request = msgspec.convert(cbor2.loads(data), _Request, strict=False)
-                    await room.acquire()
-                    tasks.create_task(self._answer(channel, request, room))
+                    await slots.acquire()
+                    tasks.create_task(self._handle(channel, request, slots))
         except* PeerUnreachable as group:
             self._log.debug("relay_channel_closed", reason=str(group.exceptions[0]))
         except* (cbor2.CBORDecodeError, msgspec.ValidationError) as group:
             self._log.warning("relay_request_malformed", reason=str(group.exceptions[0]))
 
-    async def _answer(
-        self, channel: PeerChannel, request: _Request, room: asyncio.Semaphore
+    async def _handle(
+        self, channel: PeerChannel, request: _Request, slots: asyncio.Semaphore
     ) -> None:
         try:
             self.relayed += 1
-            response = _Response(request.number, await self._direct(request.call))
+            response = _Response(request.number, await self._call_store(request.call))
         except StoreUnavailable as error:
             response = _Response(request.number, None, error.effect_possible)
         finally:
-            room.release()
+            slots.release()
         await channel.send(_encode(response))
 
 
@@ -99,7 +99,7 @@
 
     def __init__(self, channel: PeerChannel) -> None:
         self.channel = channel
-        self.waiting: dict[int, asyncio.Future[_Response]] = {}
+        self.pending: dict[int, asyncio.Future[_Response]] = {}
         self.open = True
         self.reader = asyncio.get_running_loop().create_task(self._read())
 
@@ -108,7 +108,7 @@
             while True:
                 data = await self.channel.receive()
                 response = msgspec.convert(cbor2.loads(data), _Response, strict=False)
-                future = self.waiting.get(response.number)
+                future = self.pending.get(response.number)
                 if future is not None and not future.done():
                     future.set_result(response)
         except (PeerUnreachable, cbor2.CBORDecodeError, msgspec.ValidationError) as error:
@@ -116,7 +116,7 @@
 
     def _close(self, error: PeerUnreachable) -> None:
         self.open = False
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
                 future.set_exception(error)
 
@@ -138,8 +138,8 @@
     """
 
     __slots__ = (
-        "_avoid_until_s",
         "_clock",
+        "_cooldown_until_s",
         "_links",
         "_log",
         "_numbers",
@@ -162,7 +162,7 @@
         self._rng = rng
         self._links: dict[str, _PeerLink] = {}
         self._numbers = itertools.count(1)
-        self._avoid_until_s: dict[str, float] = {}
+        self._cooldown_until_s: dict[str, float] = {}
         self._preferred = ""
         self._log = structlog.get_logger("relay")
 
@@ -172,7 +172,7 @@
         Raises:
             StoreUnavailable: No peer got an answer from the store.
         """
-        address = self._choose()
+        address = self._select_peer()
         if address is None:
             raise StoreUnavailable("there is no peer to relay the call", effect_possible=False)
         sent = False
@@ -180,21 +180,21 @@
             link = await self._link(address)
             number = next(self._numbers)
             future: asyncio.Future[_Response] = asyncio.get_running_loop().create_future()
-            link.waiting[number] = future
+            link.pending[number] = future
             try:
-                async with asyncio.timeout(call.timeout_s + _REPLY_SLACK_S):
+                async with asyncio.timeout(call.timeout_s + _REPLY_MARGIN_S):
                     sent = True
                     await link.channel.send(_encode(_Request(number, call)))
                     response = await future
             finally:
-                del link.waiting[number]
+                del link.pending[number]
         except (PeerUnreachable, TimeoutError) as error:
-            self._failed(address)
+            self._mark_failed(address)
             raise StoreUnavailable(
                 f"peer {address} relayed no answer: {error!r}", effect_possible=sent
             ) from error
         if response.reply is None:
-            self._failed(address)
+            self._mark_failed(address)
             raise StoreUnavailable(
                 f"peer {address} got no answer either", effect_possible=response.effect_possible
             )
@@ -208,16 +208,16 @@
         for link in self._links.values():
             await link.aclose()
 
-    def _choose(self) -> str | None:
+    def _select_peer(self) -> str | None:
         now_s = self._clock.monotonic_s()
         peers = list(self._peers())
-        good = [peer for peer in peers if self._avoid_until_s.get(peer, 0.0) <= now_s]
-        if self._preferred in good:
+        available = [peer for peer in peers if self._cooldown_until_s.get(peer, 0.0) <= now_s]
+        if self._preferred in available:
             return self._preferred
-        return self._rng.choice(good or peers) if peers else None
+        return self._rng.choice(available or peers) if peers else None
 
-    def _failed(self, address: str) -> None:
-        self._avoid_until_s[address] = self._clock.monotonic_s() + _AVOID_S
+    def _mark_failed(self, address: str) -> None:
+        self._cooldown_until_s[address] = self._clock.monotonic_s() + _PEER_COOLDOWN_S
         if self._preferred == address:
             self._preferred = ""
 
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -23,7 +23,7 @@
 _DURATION_S = 1.5
 _RENEWAL_S = 0.5
 # Part of the duration that covers clocks which run at different rates.
-_DRIFT_FRACTION = 0.1
+_CLOCK_DRIFT_FRACTION = 0.1
 _WRITE_TIMEOUT_S = 1.0
 _POLL_S = 0.1
 # Each further host in the order of candidates waits so much longer.
@@ -31,10 +31,10 @@
 # What reading the store's clock may be off.
 _CLOCK_MARGIN_S = 0.3
 # Acts begin and end within this time of their announcement.
-_ANNOUNCED_S = 1.2
+_ANNOUNCEMENT_S = 1.2
 
 
-class _Holding(Value, frozen=True, kw_only=True):
+class _LeaseRecord(Value, frozen=True, kw_only=True):
     """The row: who holds the lease, and until when it may have acted, by the store's clock."""
 
     owner: str
@@ -68,20 +68,20 @@
         "_clock",
         "_ends_boot_s",
         "_ends_s",
+        "_held",
         "_log",
-        "_own",
+        "_observed",
+        "_observed_at_s",
         "_owner",
         "_rank",
+        "_renewal_lock",
         "_renewed_at_s",
         "_rng",
         "_row_id",
-        "_seen",
-        "_seen_at_s",
         "_store",
         "_store_ms",
         "_version",
         "_view_age_s",
-        "_writing",
         "paused",
     )
 
@@ -110,21 +110,21 @@
         self._rank = rank
         self._rng = rng
         self._version = 0
-        self._seen: _Holding | None = None
-        self._seen_at_s = clock.monotonic_s()
-        self._own: _Holding | None = None
+        self._observed: _LeaseRecord | None = None
+        self._observed_at_s = clock.monotonic_s()
+        self._held: _LeaseRecord | None = None
         self._renewed_at_s = 0.0
         self._ends_s = self._ends_boot_s = float("-inf")
         self._act_from_s = 0.0
         self._acted_ms = 0
-        self._writing = asyncio.Lock()
+        self._renewal_lock = asyncio.Lock()
         self._log = structlog.get_logger("lease")
         self.paused = False
 
     @property
     def epoch(self) -> int:
         """A number that rises with each holder."""
-        return self._own.epoch if self._own is not None else 0
+        return self._held.epoch if self._held is not None else 0
 
     def remaining_s(self) -> float:
         """Return for how long this daemon surely holds the lease, in seconds."""
@@ -134,7 +134,7 @@
     def may_act(self, act_s: float) -> bool:
         """Return whether an act that takes up to *act_s* seconds may be announced now."""
         return (
-            self._own is not None
+            self._held is not None
             and not self.paused
             and self.remaining_s() > act_s
             and self._clock.monotonic_s() >= self._act_from_s
@@ -149,26 +149,26 @@
         if not self.may_act(act_s):
             return False
         announced_s = self._clock.monotonic_s()
-        self._acted_ms = self._store_ms() + int(_ANNOUNCED_S * 1000)
-        await self._renew(at_once=True)
-        in_time = self._clock.monotonic_s() - announced_s + act_s <= _ANNOUNCED_S
-        written = self._own is not None and self._own.acted_ms >= self._acted_ms
-        return written and in_time and self.may_act(act_s)
+        self._acted_ms = self._store_ms() + int(_ANNOUNCEMENT_S * 1000)
+        await self._renew(immediately=True)
+        within_announcement = self._clock.monotonic_s() - announced_s + act_s <= _ANNOUNCEMENT_S
+        written = self._held is not None and self._held.acted_ms >= self._acted_ms
+        return written and within_announcement and self.may_act(act_s)
 
     def take(self, row: StoredRow) -> None:
         """Take in the lease's row from the feed."""
         if row.value is None or row.version <= self._version:
             return
         self._version = row.version
-        self._seen_at_s = self._clock.monotonic_s()
-        self._seen = msgspec.json.decode(row.value, type=_Holding)
-        if self._own is not None and self._seen.owner != self._owner:
-            self._lose("another host holds it")
+        self._observed_at_s = self._clock.monotonic_s()
+        self._observed = msgspec.json.decode(row.value, type=_LeaseRecord)
+        if self._held is not None and self._observed.owner != self._owner:
+            self._mark_lost("another host holds it")
 
     async def run(self) -> None:
         """Hold the lease whenever nobody else does, until cancelled."""
         while True:
-            if self._own is not None:
+            if self._held is not None:
                 await self._renew()
             elif not self.paused and self._is_free():
                 await self._acquire()
@@ -177,102 +177,106 @@
     async def release(self) -> None:
         """Give the lease up, telling the next holder when the last act was."""
         self.paused = True
-        own = self._own
-        if own is None:
+        held = self._held
+        if held is None:
             return
-        self._lose("it is given up")
+        self._mark_lost("it is given up")
         try:
-            await self._write(msgspec.structs.replace(own, released=True, acted_ms=self._acted_ms))
+            await self._write(msgspec.structs.replace(held, released=True, acted_ms=self._acted_ms))
         except (RowConflict, StoreUnavailable) as error:
             self._log.warning("lease_not_released", reason=error.message)
 
     def _is_free(self) -> bool:
-        seen = self._seen
-        rest_s = self._clock.monotonic_s() - self._seen_at_s
+        observed = self._observed
+        unchanged_s = self._clock.monotonic_s() - self._observed_at_s
         delay_s = self._rank() * _RANK_DELAY_S * self._rng.uniform(0.8, 1.2)
         if self._view_age_s() > _DURATION_S:
             return False
-        if seen is None or seen.released:
-            return rest_s >= delay_s
-        if host_of(seen.owner) == host_of(self._owner):
+        if observed is None or observed.released:
+            return unchanged_s >= delay_s
+        if host_of(observed.owner) == host_of(self._owner):
             # An earlier process of this host, which is one holder with this one.
             return True
-        return rest_s >= _DURATION_S + delay_s
+        return unchanged_s >= _DURATION_S + delay_s
 
     async def _acquire(self) -> None:
-        seen = self._seen
-        own = _Holding(owner=self._owner, epoch=(seen.epoch if seen else 0) + 1)
-        asked_s, asked_boot_s = self._clock.monotonic_s(), self._boot_s()
+        observed = self._observed
+        held = _LeaseRecord(owner=self._owner, epoch=(observed.epoch if observed else 0) + 1)
+        requested_s, requested_boot_s = self._clock.monotonic_s(), self._boot_s()
         try:
-            await self._write(own)
+            await self._write(held)
         except RowConflict as conflict:
             # The feed brings the row that stands in the way.
             self._log.info("lease_not_acquired", reason=conflict.message)
-            self._seen_at_s = self._clock.monotonic_s()
+            self._observed_at_s = self._clock.monotonic_s()
             return
         except StoreUnavailable as error:
             self._log.info("lease_not_acquired", reason=error.message)
             return
-        self._own = self._seen = own
-        self._extend(asked_s, asked_boot_s)
-        self._act_from_s = self._clock.monotonic_s() + self._wait_s(seen)
+        self._held = self._observed = held
+        self._extend(requested_s, requested_boot_s)
+        self._act_from_s = self._clock.monotonic_s() + self._first_act_delay_s(observed)
         self._log.info(
             "lease_acquired",
-            epoch=own.epoch,
-            former=seen.owner if seen else "",
+            epoch=held.epoch,
+            previous=observed.owner if observed else "",
             acts_in_s=round(self._act_from_s - self._clock.monotonic_s(), 2),
         )
 
-    def _wait_s(self, former: _Holding | None) -> float:
+    def _first_act_delay_s(self, previous: _LeaseRecord | None) -> float:
         """Return how long to wait before the first act."""
-        if former is None or host_of(former.owner) == host_of(self._owner) or not former.acted_ms:
+        if (
+            previous is None
+            or host_of(previous.owner) == host_of(self._owner)
+            or not previous.acted_ms
+        ):
             return 0.0
-        passed_s = (self._store_ms() - former.acted_ms) / 1000
-        return max(0.0, self._act_gap_s + _CLOCK_MARGIN_S - passed_s)
+        elapsed_s = (self._store_ms() - previous.acted_ms) / 1000
+        return max(0.0, self._act_gap_s + _CLOCK_MARGIN_S - elapsed_s)
 
-    async def _renew(self, *, at_once: bool = False) -> None:
-        async with self._writing:
-            await self._renew_once(at_once)
+    async def _renew(self, *, immediately: bool = False) -> None:
+        async with self._renewal_lock:
+            await self._renew_once(immediately)
 
-    async def _renew_once(self, at_once: bool) -> None:
-        own = self._own
-        if own is None:
+    async def _renew_once(self, immediately: bool) -> None:
+        held = self._held
+        if held is None:
             return
         if self.remaining_s() <= 0:
-            self._lose("it could not be renewed in time")
+            self._mark_lost("it could not be renewed in time")
             return
-        asked_s, asked_boot_s = self._clock.monotonic_s(), self._boot_s()
-        if asked_s - self._renewed_at_s < _RENEWAL_S and not at_once:
+        requested_s, requested_boot_s = self._clock.monotonic_s(), self._boot_s()
+        if requested_s - self._renewed_at_s < _RENEWAL_S and not immediately:
             return
-        renewed = msgspec.structs.replace(own, beat=own.beat + 1, acted_ms=self._acted_ms)
+        renewed = msgspec.structs.replace(held, beat=held.beat + 1, acted_ms=self._acted_ms)
         try:
             await self._write(renewed)
         except RowConflict:
-            self._lose("another host holds it")
+            self._mark_lost("another host holds it")
         except StoreUnavailable as error:
             self._log.info("lease_not_renewed", reason=error.message)
         else:
-            if self._own is own and self.remaining_s() > 0:
-                self._own = renewed
-                self._extend(asked_s, asked_boot_s)
+            if self._held is held and self.remaining_s() > 0:
+                self._held = renewed
+                self._extend(requested_s, requested_boot_s)
 
-    async def _write(self, holding: _Holding) -> None:
+    async def _write(self, record: _LeaseRecord) -> None:
         version = await self._store.commit(
-            replacement(self._row_id, self._version, msgspec.json.encode(holding)),
+            replacement(self._row_id, self._version, msgspec.json.encode(record)),
             _WRITE_TIMEOUT_S,
         )
         self._version = max(self._version, version)
-        self._seen = holding
-        self._seen_at_s = self._clock.monotonic_s()
+        self._observed = record
+        self._observed_at_s = self._clock.monotonic_s()
 
-    def _extend(self, asked_s: float, asked_boot_s: float) -> None:
-        held_s = _DURATION_S * (1 - _DRIFT_FRACTION)
-        self._renewed_at_s = asked_s
-        self._ends_s = asked_s + held_s
-        self._ends_boot_s = asked_boot_s + held_s
+    def _extend(self, requested_s: float, requested_boot_s: float) -> None:
+        held_s = _DURATION_S * (1 - _CLOCK_DRIFT_FRACTION)
+        self._renewed_at_s = requested_s
+        self._ends_s = requested_s + held_s
+        self._ends_boot_s = requested_boot_s + held_s
 
-    def _lose(self, reason: str) -> None:
+    def _mark_lost(self, reason: str) -> None:
         epoch = self.epoch
-        self._own = None
+        self._held = None
         self._ends_s = self._ends_boot_s = float("-inf")
         self._log.warning("lease_lost", epoch=epoch, reason=reason)
--- a/src/verbenawind/state/spreading.py
+++ b/src/verbenawind/state/spreading.py
@@ -18,7 +18,7 @@
 _HELD_KIND = "revision-held"
 _HELD_EXPIRY_S = 900.0
 _HELD_REFRESH_S = 300.0
-_MAX_DAEMONS_LISTED = 32
+_MAX_PUBLISHING_DAEMONS = 32
 
 
 class RevisionHeld(msgspec.Struct, frozen=True, kw_only=True):
@@ -45,10 +45,10 @@
     """
 
     __slots__ = (
+        "_apply_revision",
         "_clock",
-        "_environments",
+        "_current_revisions",
         "_held",
-        "_learn",
         "_log",
         "_peers",
         "_published_at_s",
@@ -58,18 +58,18 @@
         self,
         peers: PeerBus,
         clock: Clock,
-        learn: Callable[[EnvironmentRevision, str], bool],
-        environments: Callable[[], Sequence[EnvironmentRevision]],
+        apply_revision: Callable[[EnvironmentRevision, str], bool],
+        current_revisions: Callable[[], Sequence[EnvironmentRevision]],
     ) -> None:
         self._peers = peers
         self._clock = clock
-        self._learn = learn
-        self._environments = environments
+        self._apply_revision = apply_revision
+        self._current_revisions = current_revisions
         self._held: dict[str, RevisionHeld] = {}
         self._published_at_s = 0.0
         self._log = structlog.get_logger("configuration")
         peers.on_item(_REVISION_KIND, self._on_revision)
-        peers.on_call(HELD_CALL, self._answer)
+        peers.on_call(HELD_CALL, self._on_held_call)
 
     def spread(self, revision: EnvironmentRevision) -> None:
         """Tell peers of a revision that has come into force here."""
@@ -104,7 +104,7 @@
             self._publish(name)
 
     def _publish(self, name: str) -> None:
-        if len(self._peers.peers()) >= _MAX_DAEMONS_LISTED:
+        if len(self._peers.peers()) >= _MAX_PUBLISHING_DAEMONS:
             return
         held = self._held[name]
         self._peers.spread(
@@ -127,7 +127,7 @@
         if revision.digest != document_digest(revision.document):
             # A daemon of another release may know other fields; the table still has them all.
             self._log.warning("revision_digest_differs", key=item.key, revision=revision.revision)
-        self._learn(revision, "a peer")
+        self._apply_revision(revision, "a peer")
 
-    async def _answer(self, _: bytes) -> bytes:
+    async def _on_held_call(self, _: bytes) -> bytes:
         return msgspec.json.encode(self.held())
--- a/tests/state/test_clients.py
+++ b/tests/state/test_clients.py
@@ -14,7 +14,7 @@
 from verbenawind.standins.platform import StandinTable
 from verbenawind.standins.world import run_virtual
 from verbenawind.state import TableClient
-from verbenawind.state.clients import Effect, effect_of
+from verbenawind.state.clients import Effect, infer_effect
 
 
 class InterferingTable(StandinTable):
@@ -152,16 +152,16 @@
     @pytest.mark.parametrize(
         ("version", "operation_id", "expected"),
         [
-            (3, "other", Effect.NOT_TAKEN),
-            (4, "op", Effect.TAKEN),
-            (4, "other", Effect.NOT_TAKEN),
+            (3, "other", Effect.NOT_APPLIED),
+            (4, "op", Effect.APPLIED),
+            (4, "other", Effect.NOT_APPLIED),
             (5, "other", Effect.UNKNOWN),
         ],
     )
     def test_versions_tell(self, version: int, operation_id: str, expected: Effect) -> None:
         """The row's version against the expected one tells what can be told."""
         row = Row(key="a", value=b"", version=version, operation_id=operation_id)
-        assert effect_of(transaction("op", write("a", 3)), {"a": row}) is expected
+        assert infer_effect(transaction("op", write("a", 3)), {"a": row}) is expected
 
 
 class TestProtection:
