--- a/src/verbenawind/state/__init__.py
+++ b/src/verbenawind/state/__init__.py
@@ -1,4 +1,4 @@
-"""What must be agreed or last: the clients of the platform's stores, leases, configuration."""
+"""Clients of the platform's stores, leases and the configuration store."""
 
 from verbenawind.state.clients import ObjectClient, TableClient
 from verbenawind.state.configuration import ConfigurationStore
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -1,7 +1,7 @@
-"""Heartbeats of daemons as rows of the store: who is there, and who has gone silent.
+"""Failure detection between daemons by heartbeat rows in the store.
 
-A daemon that owns work beats often, any other rarely, so that the number of writes follows the
-work and not the size of the fleet.
+A daemon that owns work writes its heartbeat often and an idle one rarely, so the write rate scales
+with the amount of work and not with the number of daemons.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -21,30 +21,30 @@
 _BUSY_PERIOD_S = 0.5
 _IDLE_PERIOD_S = 4.0
 _WRITE_TIMEOUT_S = 1.5
-# Silence of a busy daemon after which it is taken for gone; shorter before its first beat as an
-# owner, which comes at once.
+# A busy daemon is presumed gone after this long without a heartbeat. The limit is shorter before its
+# first heartbeat as an owner, which is written immediately.
 _BUSY_TIMEOUT_S = 1.8
 _FIRST_BEAT_TIMEOUT_S = 1.0
-# The same for a daemon whose host does not answer its peers either.
+# Timeout of a busy daemon whose host does not answer its peers either.
 _UNANSWERED_TIMEOUT_S = 1.0
-# After the table was out of reach a living daemon's beat is back within this time.
+# After an outage of the table, live daemons write a heartbeat again within this time.
 _RECOVERY_GRACE_S = 0.8
-# An idle daemon that has not beaten for so long gets no work.
+# An idle daemon without a heartbeat for this long is given no work.
 _IDLE_TIMEOUT_S = 6.0
-# A view of the table older than this says nothing about anybody's silence.
+# A view of the table older than this cannot show that a daemon has stopped.
 _MAX_VIEW_AGE_S = 1.6
 _POLL_S = 0.1
-# Shorter waits are over already.
+# Remaining waits up to this length are skipped.
 _MIN_SLEEP_S = 0.001
 
 
 def host_of(owner_id: str) -> str:
-    """Return the host of a daemon's incarnation."""
+    """Return the host part of an owner id (``host#incarnation``)."""
     return owner_id.partition("#")[0]
 
 
 class Beat(Value, frozen=True, kw_only=True):
-    """A daemon's row; ``incarnation`` tells its process from earlier ones under its name."""
+    """A daemon's heartbeat row; ``incarnation`` distinguishes successive processes of one host."""
 
     host: str
     incarnation: str
@@ -55,7 +55,7 @@
 
     @property
     def owner_id(self) -> str:
-        """What the daemon signs its work with."""
+        """The identifier under which the daemon owns work, ``host#incarnation``."""
         return f"{self.host}#{self.incarnation}"
 
 
@@ -69,15 +69,15 @@
 
 
 class HostBeats:
-    """Beats for this daemon and watches the beats of the others.
+    """Writes this daemon's heartbeats and monitors those of the others.
 
     Args:
         store: The row store.
-        own: This daemon's first beat.
+        own: This daemon's initial heartbeat.
         clock: Time source.
         rng: Jitter.
         busy: Whether this daemon owns work.
-        view_age_s: For how long the table has not been heard of.
+        view_age_s: Returns the seconds since the table's feed last responded.
     """
 
     __slots__ = (
@@ -111,7 +111,7 @@
         self._busy = busy
         self.view_age_s = view_age_s
         self._received: dict[str, _ReceivedBeat] = {}
-        # Incarnations that another one of their host has replaced.
+        # Owner ids whose host has since started another incarnation.
         self._replaced_owners: set[str] = set()
         self._version = 0
         self._feed_restored_at_s = float("-inf")
@@ -119,11 +119,11 @@
 
     @property
     def own(self) -> Beat:
-        """This daemon's newest beat."""
+        """This daemon's latest heartbeat."""
         return self._own
 
     def take(self, row: StoredRow) -> None:
-        """Take in a row of the table."""
+        """Apply a row of the table from the change feed."""
         host = row.row_id.key
         if row.value is None:
             self._received.pop(host, None)
@@ -143,12 +143,16 @@
         self._received[host] = _ReceivedBeat(beat, row.version, self._clock.monotonic_s())
 
     def view_returned(self, silent_s: float) -> None:
-        """Give everybody time to beat again after the table was out of reach."""
+        """Allow every daemon time to write a heartbeat after an outage of the table.
+
+        Args:
+            silent_s: How long the feed did not respond.
+        """
         if silent_s > _MAX_VIEW_AGE_S / 2:
             self._feed_restored_at_s = self._clock.monotonic_s()
 
     def others(self) -> Sequence[Beat]:
-        """Return the other daemons that have beaten and have not said that they leave."""
+        """Return the latest heartbeats of the other daemons that are not leaving."""
         return [
             received.beat
             for host, received in self._received.items()
@@ -157,11 +161,11 @@
 
     @property
     def view_is_fresh(self) -> bool:
-        """Whether the table has been heard of lately."""
+        """Whether the view of the table is recent enough to judge other daemons by."""
         return self.view_age_s() <= _MAX_VIEW_AGE_S
 
     def neighbours(self) -> Sequence[Beat]:
-        """Return the daemons of this availability zone that have beaten lately."""
+        """Return the other daemons of this availability zone with a recent heartbeat."""
         now_s = self._clock.monotonic_s()
         return [
             beat
@@ -171,12 +175,12 @@
         ]
 
     def is_gone(self, owner_id: str, since_s: float, *, unanswered: bool = False) -> bool:
-        """Return whether the daemon that signs as *owner_id* is taken for gone.
+        """Return whether the daemon with *owner_id* is presumed gone.
 
         Args:
             owner_id: A daemon's incarnation.
-            since_s: Since when it has owned work and so should have beaten often.
-            unanswered: Whether its host has just given its peers no answer.
+            since_s: When it began to own work, and thus to write frequent heartbeats.
+            unanswered: Whether its host has just failed to answer its peers.
         """
         host, _, incarnation = owner_id.partition("#")
         if host == self._own.host:
@@ -185,7 +189,7 @@
             return True
         received = self._received.get(host)
         if received is not None and received.beat.incarnation != incarnation:
-            # A process that has started anew and whose first beat is still on its way.
+            # A newly started process whose first heartbeat has not arrived yet.
             received = None
         if received is not None and received.beat.leaving:
             return True
@@ -194,18 +198,19 @@
             _RECOVERY_GRACE_S if unanswered else _BUSY_TIMEOUT_S
         ):
             return False
-        # Only silence that the feed has borne out counts.
-        last_heard_s = now_s - self.view_age_s()
+        # Only count silence up to the feed's last response: later heartbeats may not have arrived.
+        feed_current_at_s = now_s - self.view_age_s()
         if received is None or received.at_s <= since_s:
-            return last_heard_s - since_s > _FIRST_BEAT_TIMEOUT_S
-        return last_heard_s - received.at_s > (
+            return feed_current_at_s - since_s > _FIRST_BEAT_TIMEOUT_S
+        return feed_current_at_s - received.at_s > (
             _UNANSWERED_TIMEOUT_S if unanswered else _BUSY_TIMEOUT_S
         )
 
     def silent_owner(self, owner_id: str, since_s: float, silence_s: float) -> Beat | None:
-        """Return the last beat of an owner that has not been heard of for *silence_s*, else None.
+        """Return the last heartbeat of an owner silent for more than *silence_s*, else None.
 
-        Unlike ``is_gone`` this counts silence of the table as well, and proves nothing.
+        Unlike ``is_gone`` this also counts time during which the table was unreachable, so the
+        owner may well be alive.
         """
         host, _, incarnation = owner_id.partition("#")
         received = self._received.get(host)
@@ -215,12 +220,12 @@
         return received.beat if self._clock.monotonic_s() - last_heard_s > silence_s else None
 
     def claimants(self, gone: Collection[str]) -> Sequence[str]:
-        """Return the hosts that may take over, this one included, without the *gone* ones."""
+        """Return the hosts that may take over work: this one and the others not in *gone*."""
         hosts = {beat.host for beat in self.others()} | {self._own.host}
         return sorted(hosts - set(gone))
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Write heartbeats until cancelled."""
         while True:
             await self.beat()
             period_s = _BUSY_PERIOD_S if self._busy() else _IDLE_PERIOD_S
@@ -231,7 +236,7 @@
                     break
 
     async def beat(self, *, leaving: bool = False) -> None:
-        """Write one beat; a failure is logged and the next beat tries again."""
+        """Write one heartbeat; a failure is logged and left to the next heartbeat."""
         self._own = msgspec.structs.replace(
             self._own, number=self._own.number + 1, leaving=self._own.leaving or leaving
         )
--- a/src/verbenawind/state/clients.py
+++ b/src/verbenawind/state/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's stores that resolve lost answers by reading back."""
+"""Clients of the platform's stores that resolve lost responses by reading back."""
 
 from collections.abc import Mapping, Sequence
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """What the rows tell of an earlier attempt of a transaction."""
+    """Whether an earlier attempt of a transaction was applied, as far as its rows show."""
 
     APPLIED = "taken"
     NOT_APPLIED = "not_taken"
@@ -21,12 +21,12 @@
 
 
 def infer_effect(transaction: Transaction, rows: Mapping[str, Row]) -> Effect:
-    """Judge by the rows, read after a refusal, whether an attempt had taken effect.
+    """Infer from *rows*, read after a rejection, whether an earlier attempt was applied.
 
-    A transaction takes effect whole, so one row can settle it. Row versions rise by one with each
-    write, so a row at the version that the write expected was never written by it, and a row
-    one above was written by whoever it names. Higher versions hide who wrote before. Rows must
-    not be deleted and written anew while a transaction on them is being resolved.
+    Transactions are atomic, so a single row can decide. Each write raises a row's version by one: a
+    row still at the expected version was not written by the transaction, and a row one version
+    above was written by the operation that it names. At higher versions the earlier writer is
+    unknown. Rows must not be deleted and recreated while a transaction on them is being resolved.
     """
     effects = [_row_effect(transaction, write, rows.get(write.key)) for write in transaction.writes]
     if Effect.APPLIED in effects:
@@ -50,12 +50,12 @@
 
 
 class TableClient:
-    """The table service with deadlines and retries; implements the TableStore port.
+    """A table service client with deadlines and retries; implements the TableStore port.
 
     Args:
         store: The adapter of the table service.
         clock: Time source.
-        rng: Jitter of the retries.
+        rng: Random source for retry jitter.
     """
 
     __slots__ = ("_calls", "_store")
@@ -65,26 +65,26 @@
         self._calls = StoreCallRunner("table service", clock, rng)
 
     async def read(self, keys: Sequence[str]) -> Mapping[str, Row]:
-        """Return the rows that exist among *keys*."""
+        """Return the existing rows among *keys*."""
         description = f"read of {len(keys)} rows from {keys[0]!r}" if keys else "read of no rows"
         return await self._calls.call(description, lambda: self._store.read(keys))
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
-        """Return rows below *prefix* that sort after *after*."""
+        """Return up to *limit* rows whose keys begin with *prefix* and sort after *after*."""
         return await self._calls.call(
             f"scan of {prefix!r}", lambda: self._store.scan(prefix, after=after, limit=limit)
         )
 
     async def commit(self, transaction: Transaction) -> None:
-        """Apply a transaction; an answer that was lost is resolved by the operation id.
+        """Apply a transaction; a lost response is resolved by the operation id.
 
-        A refusal by the table is final: the condition that failed will not hold again, so an
-        earlier attempt that is still on its way fails too, and what took effect can be read.
+        A rejection by the table is final: the failed condition cannot hold again, so an earlier
+        attempt that is still in flight fails too, and reading the rows shows what was applied.
 
         Raises:
-            ConditionFailed: The transaction did not take effect and never will.
-            StoreUnavailable: No answer, or one that cannot be resolved; ``effect_possible`` says
-                whether it may have taken effect.
+            ConditionFailed: The transaction was not applied and never will be.
+            StoreUnavailable: No response, or a lost one that cannot be resolved;
+                ``effect_possible`` tells whether the transaction may have been applied.
         """
         description = f"commit {transaction.operation_id}"
         try:
@@ -100,7 +100,7 @@
             rows = await self.read([write.key for write in transaction.writes])
         except StoreUnavailable as error:
             raise StoreUnavailable(
-                f"{description}: a lost answer could not be resolved: {error.message}",
+                f"{description}: a lost response could not be resolved: {error.message}",
                 effect_possible=True,
             ) from error
         effect = infer_effect(transaction, rows)
@@ -108,18 +108,18 @@
             raise rejection
         if effect is Effect.UNKNOWN:
             raise StoreUnavailable(
-                f"{description}: an answer was lost and later writes hide its effect",
+                f"{description}: a response was lost and later writes hide whether it was applied",
                 effect_possible=True,
             )
 
 
 class ObjectClient:
-    """The object store with deadlines and retries; implements the ObjectStore port.
+    """An object store client with deadlines and retries; implements the ObjectStore port.
 
     Args:
         store: The adapter of the object store.
         clock: Time source.
-        rng: Jitter of the retries.
+        rng: Random source for retry jitter.
     """
 
     __slots__ = ("_calls", "_store")
@@ -133,9 +133,9 @@
         await self._calls.call(f"put of {key!r}", lambda: self._store.put(key, data), writes=True)
 
     async def get(self, key: str) -> bytes | None:
-        """Return the object, None when absent."""
+        """Return the object's data, or None if it does not exist."""
         return await self._calls.call(f"get of {key!r}", lambda: self._store.get(key))
 
     async def delete(self, key: str) -> None:
-        """Remove an object."""
+        """Delete the object under *key*."""
         await self._calls.call(f"delete of {key!r}", lambda: self._store.delete(key), writes=True)
--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -1,4 +1,4 @@
-"""Environment revisions: accepted by one conditional write, never going back."""
+"""Environment revisions, accepted by one conditional write; older ones never replace newer."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -34,13 +34,13 @@
 
 
 class ConfigurationStore:
-    """Holds the newest known revisions and accepts new ones; implements Configuration.
+    """Keeps the newest known revisions and accepts new ones; implements Configuration.
 
     Args:
         table: The table service's client.
         clock: Time source.
-        rng: Jitter of the polls.
-        peers: The peer bus, by which daemons tell each other of revisions.
+        rng: Random source for poll jitter.
+        peers: The peer bus over which daemons exchange revisions.
     """
 
     __slots__ = (
@@ -68,11 +68,11 @@
 
     @property
     def informed(self) -> bool:
-        """Whether the table or a peer has told what is in force."""
+        """Whether the revisions in force have been received from the table or a peer."""
         return self._informed
 
     def current(self, environment: str, stage: str) -> EnvironmentRevision | None:
-        """Return the revision in force, None when none is known."""
+        """Return the revision in force, or None if none is known."""
         return self._current.get((environment, stage))
 
     def environments(self) -> Sequence[EnvironmentRevision]:
@@ -80,15 +80,15 @@
         return tuple(self._current.values())
 
     def subscribe(self, listener: Callable[[EnvironmentRevision], None]) -> None:
-        """Call *listener* with each revision that comes into force."""
+        """Call *listener* with each revision that takes effect."""
         self._listeners.append(listener)
 
     def held(self) -> Sequence[RevisionHeld]:
-        """Return which revisions this daemon holds, and since when."""
+        """Return the revisions in force on this daemon, with the time each took effect."""
         return self._spreader.held()
 
     def learn(self, revision: EnvironmentRevision, source: str = "table") -> bool:
-        """Put a revision into force unless a newer one is known; return whether it was new."""
+        """Put a revision into force unless it or a newer one is known; return whether it is new."""
         key = (revision.environment, str(revision.stage))
         self._informed = True
         previous = self._current.get(key)
@@ -108,7 +108,11 @@
         return True
 
     async def refresh(self) -> None:
-        """Take in what the table holds; raises StoreUnavailable."""
+        """Read the revisions in force from the table.
+
+        Raises:
+            StoreUnavailable: The table did not respond.
+        """
         prefix, after = f"{_PREFIX}head/", ""
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
@@ -120,7 +124,7 @@
         self._informed = True
 
     async def run(self) -> None:
-        """Follow the table until cancelled; the more daemons there are, the rarer each asks."""
+        """Poll the table until cancelled; the period grows with the number of daemons."""
         while True:
             await self._clock.sleep(self._poll_period_s() * self._rng.uniform(0.75, 1.25))
             self._spreader.tick()
@@ -139,13 +143,13 @@
     ) -> EnvironmentRevision:
         """Make *document* the next revision of a stage.
 
-        A repeat of an apply that was accepted, although its answer got lost, returns the accepted
+        Repeating a call that was accepted but whose response was lost returns the accepted
         revision.
 
         Raises:
-            RevisionConflict: Another revision than *expect_revision* is in force.
-            StoreUnavailable: The table gave no answer; ``effect_possible`` says whether the
-                document may have been accepted all the same.
+            RevisionConflict: The revision in force is not *expect_revision*.
+            StoreUnavailable: The table did not respond; ``effect_possible`` tells whether the
+                document may have been accepted nonetheless.
         """
         head = await self._head(document.environment, stage)
         current = _decode_revision(head) if head else None
@@ -173,7 +177,7 @@
         return revision
 
     async def history(self, environment: str, stage: Stage) -> Sequence[EnvironmentRevision]:
-        """Return every accepted revision of a stage, oldest first."""
+        """Return all accepted revisions of a stage, oldest first."""
         prefix, after = f"{_PREFIX}history/{environment}/{stage}/", ""
         revisions: list[EnvironmentRevision] = []
         while True:
@@ -187,7 +191,7 @@
         """Return one accepted revision.
 
         Raises:
-            UnknownEnvironment: There is no such revision.
+            UnknownEnvironment: The revision does not exist.
         """
         key = _history_key(environment, stage, number)
         row = (await self._table.read([key])).get(key)
@@ -200,7 +204,10 @@
         return (await self._table.read([key])).get(key)
 
     async def _commit(self, revision: EnvironmentRevision, head: Row | None) -> None:
-        """Write head and history; the history row is written once, so it settles lost answers."""
+        """Write the head and history rows.
+
+        The history row is written only once, so it resolves a lost response.
+        """
         value = msgspec.json.encode(revision)
         environment, stage = revision.environment, revision.stage
         writes = (
--- a/src/verbenawind/state/contention.py
+++ b/src/verbenawind/state/contention.py
@@ -1,4 +1,4 @@
-"""When a contender for a lease reads the table, so that many contenders cost little."""
+"""Schedules the table reads of lease contenders, so that their number adds little load."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
 
 
 class _Observation:
-    """What a contender saw of a lease and when it looks again."""
+    """The row versions that a contender last read for a lease, and when it reads them next."""
 
     __slots__ = ("next_read_s", "owner", "unchanged_since_s", "versions")
 
@@ -35,14 +35,14 @@
 
 
 class Contention:
-    """Spaces the reads of contenders out.
+    """Decides when this daemon reads the rows of leases that it contends for.
 
-    Two standbys, the same in everybody's view, watch a lease closely. The others read rarely,
-    and soon after they hear from peers that the lease is free or its holder is gone.
+    Two standbys, chosen identically by every daemon, poll a lease often. The others poll rarely,
+    and also soon after peers report that the lease is free or that its holder is gone.
 
     Args:
         clock: Time source.
-        rng: Jitter.
+        rng: Random source for jitter.
         peers: The peer bus.
         zone: This daemon's availability zone.
         expects_peers: Whether the settings name other daemons.
@@ -79,14 +79,14 @@
         return self._clock.monotonic_s() >= observation.next_read_s
 
     def _start_observing(self, name: str) -> _Observation:
-        """Begin a watch; where there are many contenders only two read at once."""
+        """Start observing a lease; with many contenders only the two standbys read immediately."""
         now_s = self._clock.monotonic_s()
         if self._first_polled_at_s is None:
             self._first_polled_at_s = now_s
         observation = self._observations[name] = _Observation()
         contenders = self._contenders(False)
         if len(contenders) == 1 and self._expects_peers:
-            # At a restart of all daemons each has yet to meet the others.
+            # When all daemons restart together, none has discovered its peers yet.
             observation.next_read_s = self._first_polled_at_s + _PEER_DISCOVERY_S
         elif len(
             contenders
@@ -106,11 +106,12 @@
         zone_only: bool,
         guarded: bool,
     ) -> bool:
-        """Take in the row versions just read; return whether they rested for long enough.
+        """Record the row versions just read; return whether the lease has lapsed.
 
-        That is the duration, or with *guarded* the time of a missed renewal once peers have found
-        the owner gone. A live owner that is only cut off from peers renews in time, so two daemons
-        that take each other for gone do not take the lease from each other in turn.
+        It lapses once the versions stay unchanged for *duration_s*, or with *guarded* for the time
+        of a missed renewal if the owner is no longer a live peer. A live owner that is only
+        unreachable for its peers still renews in time, so two daemons that presume each other dead
+        do not keep taking the lease from one another.
         """
         now_s = self._clock.monotonic_s()
         observation = self._observations.setdefault(name, _Observation())
@@ -133,17 +134,17 @@
         return False
 
     def read_or_commit_failed(self, name: str) -> None:
-        """Record that the table gave no answer, or that another contender was faster."""
+        """Back off after the table did not respond or another contender acquired the lease."""
         observation = self._observations.setdefault(name, _Observation())
         backoff_s = self._rng.uniform(0.5, 1.0) * _FAILURE_BACKOFF_S
         observation.next_read_s = self._clock.monotonic_s() + backoff_s
 
     def acquired(self, name: str) -> None:
-        """Forget the watch of a lease that this daemon now holds."""
+        """Stop observing a lease that this daemon now holds."""
         self._observations.pop(name, None)
 
     def announce(self, name: str, fencing_number: int, *, held: bool) -> None:
-        """Tell peers that this daemon holds a lease, or no longer does."""
+        """Notify peers that this daemon holds a lease, or no longer holds it."""
         body = msgspec.json.encode(self._peers.peer_id)
         rank = (fencing_number, 0 if held else 1)
         self._peers.spread(SpreadItem(kind=_LEASE_KIND, key=name, rank=rank, body=body))
--- a/src/verbenawind/state/following.py
+++ b/src/verbenawind/state/following.py
@@ -1,4 +1,4 @@
-"""Keeps a copy of a table's rows by its change feed."""
+"""Follows the rows of a table through its change feed."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,28 +12,28 @@
 __all__ = ["FEED_PAUSE_S", "FEED_WAIT_S", "TableFollower"]
 
 _SCAN_TIMEOUT_S = 3.0
-# How long a call is held usually; a silent connection is noticed soon after.
+# Default long-poll wait; it also bounds how long a dead connection goes unnoticed.
 FEED_WAIT_S = 1.0
-# The usual pause between calls that brought rows.
+# Default pause between calls that returned rows.
 FEED_PAUSE_S = 0.2
 _MIN_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 0.5
-# A silence of the feed beyond its wait that is worth a log line.
+# A feed that was silent for longer than this beyond its wait is logged when it responds again.
 _LOGGED_SILENCE_S = 2.0
 
 
 class TableFollower:
-    """Calls a listener with each row of a table that changes, in order.
+    """Passes the rows of a table, and then each change to them, to a listener in order.
 
     Args:
         store: The store.
         table: The table to follow.
-        listener: Takes a changed row; the value is None once the row is removed.
+        listener: Called with each changed row; its value is None if the row was removed.
         clock: Time source.
-        rng: Jitter of retries.
-        partitioned: Whether the rows lie in many partitions instead of the unnamed one.
-        wait_s: How long the store may hold a call for a first change.
-        pause_s: The pause between calls that brought rows, which bounds their number.
+        rng: Random source for retry jitter.
+        partitioned: Whether the table has named partitions instead of the single unnamed one.
+        wait_s: How long the store may hold a call while there is no change.
+        pause_s: Pause between calls that returned rows; it limits their rate.
     """
 
     __slots__ = (
@@ -81,11 +81,11 @@
         self.informed = False
 
     def age_s(self) -> float:
-        """Return for how long the table has not been heard of, in seconds."""
+        """Return the seconds since the store last responded for this table."""
         return self._clock.monotonic_s() - self._last_response_at_s
 
     def on_return(self, listener: Callable[[float], None]) -> None:
-        """Call *listener* with the length of a silence when the feed is heard again."""
+        """Call *listener* at each response with the seconds of silence beyond the expected wait."""
         self._restored_listeners.append(listener)
 
     async def run(self) -> None:
@@ -113,11 +113,11 @@
                 pause_s = min(_MAX_BACKOFF_S, 2 * pause_s)
 
     async def _read_table(self) -> None:
-        """Read every row, and report as removed those that are gone since."""
+        """Read every row, and report the rows that have disappeared since as removed."""
         partitions = [""]
         version: int | None = None
         if self._partitioned:
-            # Changes after this read are repeated by the feed; taking a row in twice is harmless.
+            # The feed repeats changes made after this read; applying a row twice is harmless.
             first_page = await self._store.rows(self._table, "", _SCAN_TIMEOUT_S, limit=1)
             version = first_page.version
             partitions = list(await self._store.parts(self._table, _SCAN_TIMEOUT_S))
--- a/src/verbenawind/state/gate.py
+++ b/src/verbenawind/state/gate.py
@@ -1,4 +1,4 @@
-"""What every store call passes: a concurrency limit, a deadline, a circuit breaker, retries."""
+"""Store calls with a concurrency limit, a deadline, a circuit breaker and retries."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,10 +27,10 @@
 
 
 class RejectedAfterLostReply(Exception):
-    """Raised when a commit is refused after the answer of an earlier attempt was lost.
+    """Raised when a commit is rejected after the response to an earlier attempt was lost.
 
     Args:
-        refusal: The refusal, which an earlier attempt that took effect may have caused.
+        rejection: The rejection; an earlier attempt that was applied may have caused it.
     """
 
     def __init__(self, rejection: ConditionFailed) -> None:
@@ -39,7 +39,7 @@
 
 
 class RetryBudget:
-    """Allows retries up to a fraction of the first attempts, with a small stock."""
+    """Token bucket that limits retries to a fraction of the calls, with a small burst."""
 
     __slots__ = ("_tokens",)
 
@@ -47,11 +47,11 @@
         self._tokens = _MAX_BUDGET_TOKENS
 
     def record_call(self) -> None:
-        """Record a first attempt."""
+        """Add the tokens that one call earns."""
         self._tokens = min(_MAX_BUDGET_TOKENS, self._tokens + _TOKENS_PER_CALL)
 
     def try_spend(self) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Consume the token of one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -59,11 +59,11 @@
 
 
 class CircuitBreaker:
-    """Refuses calls for a while after many failures in a row, then lets one through.
+    """Rejects calls for a time after consecutive failures, then lets one probe through.
 
     Args:
         clock: Time source.
-        rng: Jitter, so that daemons don't return to a store all at once.
+        rng: Random source for jitter, so that daemons do not all retry a store at the same time.
     """
 
     __slots__ = ("_clock", "_failures", "_open_s", "_open_until_s", "_probing", "_rng")
@@ -77,7 +77,7 @@
         self._probing = False
 
     def wait_s(self) -> float:
-        """Return for how long calls are refused yet, in seconds; 0 when one may go."""
+        """Return for how many more seconds calls are rejected; 0 if a call is allowed."""
         if self._failures < _FAILURES_TO_OPEN:
             return 0.0
         if self._probing:
@@ -85,17 +85,17 @@
         return max(0.0, self._open_until_s - self._clock.monotonic_s())
 
     def started(self) -> None:
-        """Record that a call goes out; an open breaker lets only this one through."""
+        """Record the start of a call; while the breaker is open it is the only probe."""
         self._probing = self._failures >= _FAILURES_TO_OPEN
 
     def succeeded(self) -> None:
-        """Close the breaker."""
+        """Record a success, which closes the breaker."""
         self._failures = 0
         self._open_s = _MIN_OPEN_S
         self._probing = False
 
     def failed(self) -> None:
-        """Count a failure, and open the breaker after too many."""
+        """Record a failure; too many in a row open the breaker."""
         self._failures += 1
         self._probing = False
         if self._failures < _FAILURES_TO_OPEN:
@@ -105,17 +105,17 @@
         self._open_s = min(_MAX_OPEN_S, 2 * self._open_s)
 
     def cancelled(self) -> None:
-        """Record that a call was cancelled and tells nothing of the store."""
+        """Record that a call was cancelled, which says nothing about the store's health."""
         self._probing = False
 
 
 class StoreCallRunner:
-    """Runs the calls of one store.
+    """Runs all calls to one store under shared limits.
 
     Args:
-        store: The store's name in errors and logs.
+        store: Name of the store in errors and logs.
         clock: Time source.
-        rng: Jitter of retries.
+        rng: Random source for retry jitter.
     """
 
     __slots__ = ("_breaker", "_budget", "_clock", "_log", "_rng", "_slots", "_store")
@@ -132,13 +132,19 @@
     async def call(
         self, what: str, attempt: Callable[[], Awaitable[T]], *, writes: bool = False
     ) -> T:
-        """Run *attempt* with retries until it answers.
+        """Run *attempt* with retries until the store responds.
+
+        Args:
+            what: The call's description in errors and logs.
+            attempt: Sends the call once.
+            writes: Whether the call may change the store.
 
         Raises:
-            StoreUnavailable: No answer; ``effect_possible`` tells whether any attempt of a call
-                that writes may have taken effect.
-            RefusedAfterLoss: A condition failed after an answer had been lost.
-            ConditionFailed: A condition failed at once.
+            StoreUnavailable: No response; ``effect_possible`` tells whether any attempt of a call
+                that writes may have been applied.
+            RejectedAfterLostReply: A condition failed after the response to an earlier attempt
+                was lost.
+            ConditionFailed: A condition failed and no earlier attempt can have been applied.
         """
         uncertain = False
         ends_at_s = self._clock.monotonic_s() + _CALL_TIMEOUT_S
@@ -161,7 +167,7 @@
             await self._clock.sleep(self._rng.uniform(0.0, _BACKOFF_S * 2**number))
         self._log.info("store_call_failed", store=self._store, what=what, reason=reason)
         raise StoreUnavailable(
-            f"{what}: no answer from the {self._store} ({reason})",
+            f"{what}: no response from the {self._store} ({reason})",
             effect_possible=uncertain,
             retry_after_s=retry_after_s,
         )
@@ -170,7 +176,7 @@
         wait_s = self._breaker.wait_s()
         if wait_s > 0:
             raise StoreUnavailable(
-                f"{what}: the {self._store} failed often, next try in {wait_s:.2f} s",
+                f"{what}: circuit breaker of the {self._store} is open for {wait_s:.2f} s",
                 effect_possible=False,
                 retry_after_s=wait_s,
             )
@@ -186,7 +192,8 @@
                 await self._slots.acquire()
         except TimeoutError as error:
             raise StoreUnavailable(
-                f"{what}: {_MAX_CONCURRENT_CALLS} calls run already", effect_possible=False
+                f"{what}: {_MAX_CONCURRENT_CALLS} concurrent calls did not finish in time",
+                effect_possible=False,
             ) from error
 
     async def _run(self, what: str, attempt: Callable[[], Awaitable[T]], limit_s: float) -> T:
@@ -198,7 +205,7 @@
         except TimeoutError as error:
             self._breaker.failed()
             raise StoreUnavailable(
-                f"{what}: no answer within {timeout_s:.1f} s", effect_possible=True
+                f"{what}: no response within {timeout_s:.1f} s", effect_possible=True
             ) from error
         except StoreUnavailable:
             self._breaker.failed()
--- a/src/verbenawind/state/leases.py
+++ b/src/verbenawind/state/leases.py
@@ -1,4 +1,4 @@
-"""Leases in the table service, judged on the monotonic clock of their holder."""
+"""Leases in the table service, timed by their holder's monotonic clock."""
 
 import asyncio
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 
 
 class _GuardRecord(msgspec.Struct, frozen=True):
-    """The guard row's value; it changes only when the holder does."""
+    """The guard row's value; it is written only when the lease is acquired or released."""
 
     owner: str
     fencing_number: int
@@ -32,7 +32,7 @@
 
 
 class _HeartbeatRecord(msgspec.Struct, frozen=True):
-    """The heartbeat row's value; ``beat`` rises with each renewal."""
+    """The heartbeat row's value; ``beat`` increases with each renewal."""
 
     fencing_number: int
     beat: int
@@ -80,7 +80,7 @@
 
     @property
     def fencing_number(self) -> int:
-        """A number that rises with every new holder."""
+        """The fencing number, which increases with every new holder."""
         return self._fencing_number
 
     @property
@@ -94,45 +94,45 @@
         return _guard_key(self._name)
 
     def remaining_s(self) -> float:
-        """Return for how long the lease is surely held, in seconds."""
+        """Return for how many more seconds the lease is certainly held."""
         return self._ends_at_s - self._clock.monotonic_s()
 
     def check(self, needed_s: float = 0.0) -> None:
-        """Raise LeaseLost unless the lease is surely held for *needed_s* more seconds."""
+        """Raise LeaseLost unless the lease is certainly held for *needed_s* more seconds."""
         if self.remaining_s() <= needed_s:
             raise LeaseLost(f"lease {self._name!r} lapsed ({self.remaining_s():.3f} s left)")
 
     async def release(self) -> None:
-        """Give the lease back."""
+        """Release the lease."""
         await self._manager.release(self)
 
     def extend(self, requested_at_s: float) -> None:
-        """Record an acquisition or renewal that was asked for at a monotonic time.
+        """Extend the lease after an acquisition or renewal requested at a monotonic time.
 
-        Contenders wait the whole duration from when they saw the beat, which is later; the margin
-        covers clocks that run at rates up to a tenth apart.
+        Contenders wait the whole duration after they first read the new heartbeat, which is later
+        than the request. The margin covers clock rates that differ by up to a tenth.
         """
         self._ends_at_s = requested_at_s + self.duration_s * (1 - _CLOCK_DRIFT_FRACTION)
         self.renew_at_s = requested_at_s + self.duration_s / _RENEWALS_PER_DURATION
 
     def mark_lost(self) -> None:
-        """Record that the lease is gone."""
+        """Mark the lease as no longer held."""
         self._ends_at_s = float("-inf")
 
 
 class LeaseManager:
     """Acquires and renews leases; implements the Leases port.
 
-    A contender that has watched the heartbeat row unchanged for the whole duration, by its own
-    monotonic clock, takes the lease over with the next fencing number. All leases that are due
-    are renewed in one transaction.
+    A contender takes a lease over with the next fencing number once the heartbeat row has been
+    unchanged for the whole duration by the contender's own monotonic clock. All leases that are
+    due are renewed in one transaction.
 
     Args:
         table: The table service's client.
         clock: Time source.
         owner: This daemon's identifier.
-        rng: Jitter.
-        peers: The peer bus, which spares contenders most reads.
+        rng: Random source for jitter.
+        peers: The peer bus; its notifications save contenders most reads.
         zone: This daemon's availability zone.
         expects_peers: Whether the settings name other daemons.
     """
@@ -161,12 +161,12 @@
     async def acquire(
         self, name: str, duration_s: float, *, zone_only: bool = False, guarded: bool = False
     ) -> Lease | None:
-        """Return the lease, or None while another holder has it or the table is away.
+        """Return the lease, or None while it is held elsewhere or the table is unavailable.
 
-        Polling it often is cheap: the table is read only when the answer may have changed. With
-        ``zone_only`` only daemons of this zone contend for the lease. With ``guarded`` every action
-        under the lease is conditional on its guard row, so that a holder which peers have found
-        gone is replaced as soon as a renewal is missing.
+        Frequent polling is cheap: the table is read only when the result may have changed. With
+        ``zone_only`` only daemons of this zone contend for the lease. With ``guarded`` every
+        operation under the lease is conditional on its guard row, so a holder that is no longer a
+        live peer is replaced after one missed renewal.
         """
         held = self._held.get(name)
         if name in self._acquiring or (held is not None and held.remaining_s() > 0):
@@ -184,7 +184,7 @@
             self._acquiring.discard(name)
 
     async def release(self, lease: HeldLease) -> None:
-        """Stop renewing and mark the guard row as released."""
+        """Stop renewing the lease and mark its guard row as released."""
         if self._held.get(lease.name) is not lease:
             return
         del self._held[lease.name]
@@ -207,7 +207,7 @@
         self._stop_renewing()
 
     def abandon(self) -> None:
-        """Stop every renewal without releasing, as a dying process would."""
+        """Stop all renewals without releasing the leases, as a crash would."""
         self._stop_renewing()
 
     async def _try_acquire(
@@ -256,8 +256,8 @@
             return True
         holder = _decode_holder(guard)
         if holder.released or holder.session == self._session:
-            # An earlier acquisition or release of this process whose answer was lost: nobody
-            # acts under it, and the next fencing number makes a late write of it fail.
+            # Either released, or acquired by this process with the response lost. Nothing runs
+            # under it, and a late write of it fails on the next fencing number.
             return True
         if beat is not None:
             duration_s = msgspec.json.decode(beat.value, type=_HeartbeatRecord).duration_s
--- a/src/verbenawind/state/relay.py
+++ b/src/verbenawind/state/relay.py
@@ -1,4 +1,4 @@
-"""Makes store calls through a peer, for a host that the store turns away."""
+"""Relays store calls through a peer, for a host that cannot reach the store itself."""
 
 import asyncio
 import itertools
@@ -16,14 +16,17 @@
 __all__ = ["RelayClient", "RelayServer", "StoreCall", "StoreReply"]
 
 _CONNECT_TIMEOUT_S = 0.5
-# A peer that failed a call is asked last for so long.
+# For this long after a failed call a peer is used only if no other is available.
 _PEER_COOLDOWN_S = 1.5
 _REPLY_MARGIN_S = 0.1
 _MAX_CONCURRENT_CALLS = 64
 
 
 class StoreCall(msgspec.Struct, frozen=True, kw_only=True):
-    """One call of the store; a relayed one carries its conditions, so that a repeat is harmless."""
+    """One call to the store.
+
+    A relayed call carries its preconditions, so repeating it is harmless.
+    """
 
     method: str
     target: str
@@ -33,7 +36,7 @@
 
 
 class StoreReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The store's answer."""
+    """The store's response."""
 
     status: int
     body: bytes
@@ -45,7 +48,11 @@
 
 
 class _Response(msgspec.Struct, array_like=True):
-    """Without a reply: the peer got none, and whether the call may have taken effect."""
+    """The peer's response.
+
+    Without a reply the peer got none either, and ``effect_possible`` tells whether the call may
+    have been applied.
+    """
 
     number: int
     reply: StoreReply | None = None
@@ -53,10 +60,10 @@
 
 
 class RelayServer:
-    """Makes calls for peers over this host's own connection, never through another peer.
+    """Serves relayed calls over this host's own connection, never through another peer.
 
     Args:
-        direct: Makes a call of the store.
+        call_store: Sends a call directly to the store.
     """
 
     __slots__ = ("_call_store", "_log", "relayed")
@@ -67,7 +74,7 @@
         self.relayed = 0
 
     async def serve(self, channel: PeerChannel) -> None:
-        """Serve a peer until it closes the channel."""
+        """Serve a peer's calls until it closes the channel."""
         slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -95,7 +102,7 @@
 
 
 class _PeerLink:
-    """A channel to one peer, with the calls that wait for their replies."""
+    """A channel to one peer and its calls that are pending."""
 
     def __init__(self, channel: PeerChannel) -> None:
         self.channel = channel
@@ -128,13 +135,13 @@
 
 
 class RelayClient:
-    """Has peers make store calls.
+    """Sends store calls through peers.
 
     Args:
-        transport: Makes channels.
-        peers: Addresses of the peers that are believed to be there.
+        transport: Opens channels to peers.
+        peers: Returns the addresses of the peers believed to be alive.
         clock: Time source.
-        rng: Chooses among peers.
+        rng: Random source for choosing a peer.
     """
 
     __slots__ = (
@@ -167,14 +174,15 @@
         self._log = structlog.get_logger("relay")
 
     async def relay(self, call: StoreCall) -> StoreReply:
-        """Have a peer make the call.
+        """Send the call through a peer.
 
         Raises:
-            StoreUnavailable: No peer got an answer from the store.
+            StoreUnavailable: There is no peer, or the chosen one returned no response from the
+                store.
         """
         address = self._select_peer()
         if address is None:
-            raise StoreUnavailable("there is no peer to relay the call", effect_possible=False)
+            raise StoreUnavailable("no peer is available to relay the call", effect_possible=False)
         sent = False
         try:
             link = await self._link(address)
@@ -191,12 +199,13 @@
         except (PeerUnreachable, TimeoutError) as error:
             self._mark_failed(address)
             raise StoreUnavailable(
-                f"peer {address} relayed no answer: {error!r}", effect_possible=sent
+                f"peer {address} did not answer the relayed call: {error!r}", effect_possible=sent
             ) from error
         if response.reply is None:
             self._mark_failed(address)
             raise StoreUnavailable(
-                f"peer {address} got no answer either", effect_possible=response.effect_possible
+                f"peer {address} got no response from the store either",
+                effect_possible=response.effect_possible,
             )
         if self._preferred != address:
             self._log.info("relay_chosen", peer=address)
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -1,8 +1,8 @@
-"""A lease as one row that everybody follows; for acts that must never overlap.
+"""A lease stored in one row, for operations of successive holders that must never overlap.
 
-The holder stops well before its lease could lapse, by a clock that also runs while the host is
-suspended. A successor waits, beyond the lapse, until an act of the former holder can no longer be
-too close.
+All candidates follow the row. The holder stops well before its lease can lapse, by a clock that
+also advances while the host is suspended. After the lapse, a new holder additionally waits until
+the last operation of the previous holder is the minimum gap in the past.
 """
 
 import asyncio
@@ -22,20 +22,24 @@
 
 _DURATION_S = 1.5
 _RENEWAL_S = 0.5
-# Part of the duration that covers clocks which run at different rates.
+# Fraction of the duration reserved for differences in clock rate.
 _CLOCK_DRIFT_FRACTION = 0.1
 _WRITE_TIMEOUT_S = 1.0
 _POLL_S = 0.1
-# Each further host in the order of candidates waits so much longer.
+# Additional delay per position in the order of candidates.
 _RANK_DELAY_S = 0.3
-# What reading the store's clock may be off.
+# Maximum error of a reading of the store's clock.
 _CLOCK_MARGIN_S = 0.3
-# Acts begin and end within this time of their announcement.
+# Operations start and finish within this time after their announcement.
 _ANNOUNCEMENT_S = 1.2
 
 
 class _LeaseRecord(Value, frozen=True, kw_only=True):
-    """The row: who holds the lease, and until when it may have acted, by the store's clock."""
+    """The row's value.
+
+    ``acted_ms`` is the latest time, by the store's clock, at which the owner may have run an
+    operation.
+    """
 
     owner: str
     epoch: int
@@ -45,19 +49,19 @@
 
 
 class RowLease:
-    """One lease.
+    """Acquires, renews and releases one lease.
 
     Args:
         store: The row store.
         row_id: The lease's row.
         owner: This daemon's incarnation, ``host#incarnation``.
-        act_gap_s: How far apart acts of two holders must be.
+        act_gap_s: Minimum gap between operations of two holders.
         clock: Time source.
-        boot_s: Time that also passes while the host is suspended.
+        boot_s: Clock that also advances while the host is suspended.
         store_ms: The store's clock.
-        view_age_s: For how long the lease's table has not been heard of.
-        rank: This host's place among the candidates, 0 for the first.
-        rng: Jitter.
+        view_age_s: Returns the seconds since the feed of the lease's table last responded.
+        rank: Returns this host's position among the candidates, 0 for the first.
+        rng: Random source for jitter.
     """
 
     __slots__ = (
@@ -123,16 +127,16 @@
 
     @property
     def epoch(self) -> int:
-        """A number that rises with each holder."""
+        """The lease's epoch, which increases with each holder; 0 while not held here."""
         return self._held.epoch if self._held is not None else 0
 
     def remaining_s(self) -> float:
-        """Return for how long this daemon surely holds the lease, in seconds."""
+        """Return for how many more seconds this daemon certainly holds the lease."""
         left_s = self._ends_s - self._clock.monotonic_s()
         return min(left_s, self._ends_boot_s - self._boot_s())
 
     def may_act(self, act_s: float) -> bool:
-        """Return whether an act that takes up to *act_s* seconds may be announced now."""
+        """Return whether an operation of up to *act_s* seconds may be announced now."""
         return (
             self._held is not None
             and not self.paused
@@ -141,10 +145,10 @@
         )
 
     async def announce(self, act_s: float) -> bool:
-        """Write that acts follow, and return whether they may begin now.
+        """Record that operations follow, and return whether they may start now.
 
-        A next holder reads from the row when the last act may have been, and need not wait when
-        that was long ago.
+        The row tells the next holder when the last operation may have run, so that it does not wait
+        if that was long ago.
         """
         if not self.may_act(act_s):
             return False
@@ -156,17 +160,17 @@
         return written and within_announcement and self.may_act(act_s)
 
     def take(self, row: StoredRow) -> None:
-        """Take in the lease's row from the feed."""
+        """Apply the lease's row from the change feed."""
         if row.value is None or row.version <= self._version:
             return
         self._version = row.version
         self._observed_at_s = self._clock.monotonic_s()
         self._observed = msgspec.json.decode(row.value, type=_LeaseRecord)
         if self._held is not None and self._observed.owner != self._owner:
-            self._mark_lost("another host holds it")
+            self._mark_lost("another host acquired it")
 
     async def run(self) -> None:
-        """Hold the lease whenever nobody else does, until cancelled."""
+        """Acquire the lease whenever it is free and renew it, until cancelled."""
         while True:
             if self._held is not None:
                 await self._renew()
@@ -175,12 +179,12 @@
             await self._clock.sleep(_POLL_S)
 
     async def release(self) -> None:
-        """Give the lease up, telling the next holder when the last act was."""
+        """Release the lease, recording the time of the last operation for the next holder."""
         self.paused = True
         held = self._held
         if held is None:
             return
-        self._mark_lost("it is given up")
+        self._mark_lost("released")
         try:
             await self._write(msgspec.structs.replace(held, released=True, acted_ms=self._acted_ms))
         except (RowConflict, StoreUnavailable) as error:
@@ -195,7 +199,7 @@
         if observed is None or observed.released:
             return unchanged_s >= delay_s
         if host_of(observed.owner) == host_of(self._owner):
-            # An earlier process of this host, which is one holder with this one.
+            # An earlier process of this host counts as the same holder.
             return True
         return unchanged_s >= _DURATION_S + delay_s
 
@@ -206,7 +210,7 @@
         try:
             await self._write(held)
         except RowConflict as conflict:
-            # The feed brings the row that stands in the way.
+            # The feed will deliver the conflicting row.
             self._log.info("lease_not_acquired", reason=conflict.message)
             self._observed_at_s = self._clock.monotonic_s()
             return
@@ -224,7 +228,7 @@
         )
 
     def _first_act_delay_s(self, previous: _LeaseRecord | None) -> float:
-        """Return how long to wait before the first act."""
+        """Return the seconds to wait after acquisition before the first operation."""
         if (
             previous is None
             or host_of(previous.owner) == host_of(self._owner)
@@ -243,7 +247,7 @@
         if held is None:
             return
         if self.remaining_s() <= 0:
-            self._mark_lost("it could not be renewed in time")
+            self._mark_lost("not renewed in time")
             return
         requested_s, requested_boot_s = self._clock.monotonic_s(), self._boot_s()
         if requested_s - self._renewed_at_s < _RENEWAL_S and not immediately:
@@ -252,7 +256,7 @@
         try:
             await self._write(renewed)
         except RowConflict:
-            self._mark_lost("another host holds it")
+            self._mark_lost("another host acquired it")
         except StoreUnavailable as error:
             self._log.info("lease_not_renewed", reason=error.message)
         else:
--- a/src/verbenawind/state/spreading.py
+++ b/src/verbenawind/state/spreading.py
@@ -1,4 +1,4 @@
-"""Revisions as spread items, and which daemon holds which."""
+"""Exchange of revisions between daemons, and of which revisions each daemon has in force."""
 
 import zlib
 from collections.abc import Callable, Sequence
@@ -22,7 +22,7 @@
 
 
 class RevisionHeld(msgspec.Struct, frozen=True, kw_only=True):
-    """Which revision a daemon has in force, and since when."""
+    """A revision that a daemon has in force, and since when."""
 
     environment: str
     stage: str
@@ -32,16 +32,16 @@
 
 
 class RevisionSpreader:
-    """Tells peers of revisions and takes theirs.
+    """Spreads revisions to peers and applies those received from them.
 
-    Every daemon spreads what it holds while there are few of them; beyond that the answer is
-    had by calling each one, which costs nothing until an operator asks.
+    In a small cluster every daemon also spreads which revisions it has in force. In a larger one
+    they are collected by calling each daemon, which costs nothing until an operator asks.
 
     Args:
         peers: The peer bus.
         clock: Time source.
-        learn: Puts a revision into force unless a newer one is known.
-        environments: Gives the revisions in force.
+        apply_revision: Puts a revision into force unless it or a newer one is known.
+        current_revisions: Returns the revisions in force.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
         peers.on_call(HELD_CALL, self._on_held_call)
 
     def spread(self, revision: EnvironmentRevision) -> None:
-        """Tell peers of a revision that has come into force here."""
+        """Send peers a revision that has taken effect on this daemon."""
         self._held[revision.name] = RevisionHeld(
             environment=revision.environment,
             stage=str(revision.stage),
@@ -91,11 +91,11 @@
         self._publish(revision.name)
 
     def held(self) -> Sequence[RevisionHeld]:
-        """Return what this daemon holds, and since when."""
+        """Return the revisions in force on this daemon, with the time each took effect."""
         return tuple(self._held.values())
 
     def tick(self) -> None:
-        """Publish again what this daemon holds before it expires."""
+        """Publish this daemon's revisions again before the published items expire."""
         now_s = self._clock.monotonic_s()
         if now_s - self._published_at_s < _HELD_REFRESH_S:
             return
@@ -125,7 +125,7 @@
             self._log.error("revision_unreadable", key=item.key, reason=str(error))
             return
         if revision.digest != document_digest(revision.document):
-            # A daemon of another release may know other fields; the table still has them all.
+            # A daemon of another release may know other fields; the table still has all of them.
             self._log.warning("revision_digest_differs", key=item.key, revision=revision.revision)
         self._apply_revision(revision, "a peer")
 
