--- a/src/verbenawind/membership/bus.py
+++ b/src/verbenawind/membership/bus.py
@@ -39,13 +39,13 @@
 
 __all__ = ["GossipBus"]
 
-HEARTBEAT_S = 0.8
+_HEARTBEAT_PERIOD_S = 0.8
 _TICK_S = 0.2
 _EXPIRY_PERIOD_S = 1.0
-_LEAVE_FLUSH_S = 0.2
-_PROVEN_S = 5.0
-_GOSSIP = "gossip"
-_CALLS = "calls"
+_LEAVE_FLUSH_TIMEOUT_S = 0.2
+_STABLE_LINK_S = 5.0
+_GOSSIP_PURPOSE = "gossip"
+_CALLS_PURPOSE = "calls"
 
 
 class GossipBus:
@@ -90,7 +90,7 @@
         self.traffic = Traffic()
         self.store = SpreadStore(clock)
         self.roster = Roster(self.store, clock, location, peer_id, rng.getrandbits(48), self.spread)
-        self._gossip = Gossip(self.store, clock, location.zone, self.links, self._merged)
+        self._gossip = Gossip(self.store, clock, location.zone, self.links, self._on_merged)
         self._detector = FailureDetector(self.roster, clock, rng, location.zone, self.links)
         self._calls = Calls(clock, self._dial_for_calls)
         self.dialler = Dialler(
@@ -152,8 +152,8 @@
         """Serve links, join and begin to look for peers."""
         address = await self._transport.listen(self._listen, self._accept)
         self.roster.join(address)
-        for work in (self._beat(), self._tick(), self.dialler.run()):
-            self._start(work)
+        for coroutine in (self._send_heartbeats(), self._run_periodic_checks(), self.dialler.run()):
+            self._start_task(coroutine)
 
     async def stop(self) -> None:
         """Tell the peers that this daemon leaves, then close every link."""
@@ -161,7 +161,7 @@
         self.roster.leave()
         for link in self.links():
             with contextlib.suppress(PeerUnreachable, TimeoutError):
-                async with asyncio.timeout(_LEAVE_FLUSH_S):
+                async with asyncio.timeout(_LEAVE_FLUSH_TIMEOUT_S):
                     await link.flush()
         await self._close()
 
@@ -179,15 +179,15 @@
             await link.aclose()
         await self._transport.aclose()
 
-    def _start(self, work: Awaitable[None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Awaitable[None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _merged(self, item: SpreadItem) -> None:
+    def _on_merged(self, item: SpreadItem) -> None:
         listeners = list(self._listeners.get(item.kind, ()))
         if item.kind == MEMBER_KIND:
-            listeners.insert(0, self.roster.take_in)
+            listeners.insert(0, self.roster.apply)
             self.dialler.wake()
         for listener in listeners:
             try:
@@ -198,28 +198,28 @@
                     "spread_item_unreadable", kind=item.kind, key=item.key, reason=repr(error)
                 )
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for link in self.links():
                 self._gossip.heartbeat(link)
-            await self._clock.sleep(HEARTBEAT_S * self._rng.uniform(0.95, 1.05))
+            await self._clock.sleep(_HEARTBEAT_PERIOD_S * self._rng.uniform(0.95, 1.05))
 
-    async def _tick(self) -> None:
-        expired_at_s = self._clock.monotonic_s()
+    async def _run_periodic_checks(self) -> None:
+        last_expiry_at_s = self._clock.monotonic_s()
         while True:
             await self._clock.sleep(_TICK_S)
             self._detector.tick()
             self.roster.tick()
-            await self._close_marked()
-            if self._clock.monotonic_s() - expired_at_s >= _EXPIRY_PERIOD_S:
-                expired_at_s = self._clock.monotonic_s()
+            await self._aclose_closed_links()
+            if self._clock.monotonic_s() - last_expiry_at_s >= _EXPIRY_PERIOD_S:
+                last_expiry_at_s = self._clock.monotonic_s()
                 self.store.expire()
                 await self._calls.close_idle()
 
-    async def _close_marked(self) -> None:
+    async def _aclose_closed_links(self) -> None:
         for link in list(self._links.values()):
             if link.closed:
-                await (link.part() if link.parted else link.aclose())
+                await (link.close_gracefully() if link.closing_gracefully else link.aclose())
 
     def _identity(self, purpose: str) -> Identity:
         return Identity(
@@ -240,7 +240,7 @@
             return
         if self._stopping:
             return
-        await self._run(Link(channel, peer, False, self._clock, self.traffic))
+        await self._run_link(Link(channel, peer, False, self._clock, self.traffic))
 
     async def _open(self, address: str, purpose: str) -> Link:
         channel = await self._transport.connect(address)
@@ -249,7 +249,7 @@
         except (PeerUnauthenticated, PeerUnreachable, asyncio.CancelledError):
             await channel.aclose()
             raise
-        named = Identity(
+        remote = Identity(
             peer_id=peer.peer_id,
             address=peer.address,
             zone=peer.zone,
@@ -257,28 +257,28 @@
             incarnation=peer.incarnation,
             purpose=purpose,
         )
-        return Link(channel, named, True, self._clock, self.traffic)
+        return Link(channel, remote, True, self._clock, self.traffic)
 
     async def _open_gossip(self, address: str) -> None:
-        link = await self._open(address, _GOSSIP)
+        link = await self._open(address, _GOSSIP_PURPOSE)
         if link.peer.peer_id == self.peer_id and link.peer.address == self.address:
             await link.aclose()
             return
-        self._start(self._run(link))
+        self._start_task(self._run_link(link))
 
     async def _dial_for_calls(self, peer_id: str) -> Link:
         member = self.member(peer_id)
         if member is None or not member.present:
             raise PeerUnreachable(f"peer {peer_id!r} is not a live member")
-        link = await self._open(member.peer.address, _CALLS)
+        link = await self._open(member.peer.address, _CALLS_PURPOSE)
         if link.peer.peer_id != peer_id:
             await link.aclose()
             raise PeerUnreachable(f"peer {peer_id!r}: {link.peer.peer_id!r} is at its address")
-        self._start(self._run(link))
+        self._start_task(self._run_link(link))
         return link
 
-    async def _run(self, link: Link) -> None:
-        gossip = link.peer.purpose == _GOSSIP
+    async def _run_link(self, link: Link) -> None:
+        gossip = link.peer.purpose == _GOSSIP_PURPOSE
         if gossip and not await self._register(link):
             return
         self._all_links.add(link)
@@ -289,37 +289,41 @@
             self._calls.link_closed(link)
             if gossip and self._links.get(link.peer.peer_id) is link:
                 del self._links[link.peer.peer_id]
-                self._lost(link)
+                self._on_link_lost(link)
 
-    def _lost(self, link: Link) -> None:
+    def _on_link_lost(self, link: Link) -> None:
         if self._stopping:
             return
         self.dialler.wake()
-        if not link.parted:
+        if not link.closing_gracefully:
             self._detector.link_closed(link)
-            if self._clock.monotonic_s() - link.opened_at_s >= _PROVEN_S:
+            if self._clock.monotonic_s() - link.opened_at_s >= _STABLE_LINK_S:
                 self.dialler.verify(link.peer.address)
 
     async def _register(self, link: Link) -> bool:
         """Keep one link to each peer; both ends choose the one that the lower id dialled."""
         old = self._links.get(link.peer.peer_id)
         if old is not None and not old.closed:
-            same = old.peer.incarnation == link.peer.incarnation
-            elsewhere = old.peer.address != link.peer.address
-            if elsewhere and link.peer.incarnation < old.peer.incarnation:
+            same_incarnation = old.peer.incarnation == link.peer.incarnation
+            moved = old.peer.address != link.peer.address
+            if moved and link.peer.incarnation < old.peer.incarnation:
                 await link.aclose()
                 return False
-            if same and old.dialled != link.dialled and old.dialled == self._lower(link):
+            if (
+                same_incarnation
+                and old.dialled != link.dialled
+                and old.dialled == self._has_lower_id(link)
+            ):
                 await link.aclose()
                 return False
             self._links[link.peer.peer_id] = link
             await old.aclose()
         self._links[link.peer.peer_id] = link
         self._gossip.heartbeat(link)
-        self._gossip.open(link)
+        self._gossip.start_sync(link)
         return True
 
-    def _lower(self, link: Link) -> bool:
+    def _has_lower_id(self, link: Link) -> bool:
         return self.peer_id < link.peer.peer_id
 
     @singledispatchmethod
@@ -352,7 +356,7 @@
 
     @_handle_message.register
     async def _(self, message: Bye, link: Link) -> None:
-        link.parted = True
+        link.closing_gracefully = True
 
     @_handle_message.register
     async def _(self, message: Ping, link: Link) -> None:
--- a/src/verbenawind/membership/calls.py
+++ b/src/verbenawind/membership/calls.py
@@ -11,7 +11,7 @@
 __all__ = ["Calls"]
 
 _MAX_LINKS = 32
-_IDLE_S = 30.0
+_IDLE_TIMEOUT_S = 30.0
 _MAX_RUNNING_HANDLERS = 64
 
 Handler = Callable[[bytes], Awaitable[bytes]]
@@ -30,11 +30,11 @@
         "_dial",
         "_dialling",
         "_handlers",
+        "_last_number",
+        "_last_used_at_s",
         "_links",
-        "_number",
+        "_pending",
         "_tasks",
-        "_used_at_s",
-        "_waiting",
     )
 
     def __init__(self, clock: Clock, dial: Callable[[str], Awaitable[Link]]) -> None:
@@ -43,9 +43,9 @@
         self._dialling: dict[str, asyncio.Task[Link]] = {}
         self._handlers: dict[str, Handler] = {}
         self._links: dict[str, Link] = {}
-        self._used_at_s: dict[str, float] = {}
-        self._number = 0
-        self._waiting: dict[int, tuple[Link, asyncio.Future[bytes]]] = {}
+        self._last_used_at_s: dict[str, float] = {}
+        self._last_number = 0
+        self._pending: dict[int, tuple[Link, asyncio.Future[bytes]]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def on_call(self, kind: str, handler: Handler) -> None:
@@ -57,7 +57,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 link = await self._link(peer_id)
-                return await self._exchange(link, kind, body)
+                return await self._send_call(link, kind, body)
         except TimeoutError as error:
             raise PeerUnreachable(
                 f"peer {peer_id!r}: call {kind!r} got no reply in {timeout_s} s"
@@ -66,15 +66,15 @@
     async def on_message(self, link: Link, message: Message) -> None:
         """Take in a call or a reply."""
         if isinstance(message, Call):
-            self._start(link, message)
+            self._start_handler(link, message)
         elif isinstance(message, Reply):
-            self._answered(message)
+            self._handle_reply(message)
 
     def link_closed(self, link: Link) -> None:
         """Fail what waits for answers on a closed link."""
-        for number, (used, future) in list(self._waiting.items()):
+        for number, (used, future) in list(self._pending.items()):
             if used is link:
-                del self._waiting[number]
+                del self._pending[number]
                 if not future.done():
                     future.set_exception(
                         PeerUnreachable(f"peer {link.peer.peer_id!r}: the link closed")
@@ -86,7 +86,7 @@
         """Close links that no call used lately."""
         now_s = self._clock.monotonic_s()
         for peer_id, link in list(self._links.items()):
-            if now_s - self._used_at_s.get(peer_id, 0.0) >= _IDLE_S:
+            if now_s - self._last_used_at_s.get(peer_id, 0.0) >= _IDLE_TIMEOUT_S:
                 await link.aclose()
 
     async def aclose(self) -> None:
@@ -102,37 +102,37 @@
             if task is None:
                 task = asyncio.get_running_loop().create_task(self._open(peer_id))
                 self._dialling[peer_id] = task
-                task.add_done_callback(lambda done: self._dialled(peer_id, done))
+                task.add_done_callback(lambda done: self._dial_finished(peer_id, done))
             link = await asyncio.shield(task)
-        self._used_at_s[peer_id] = self._clock.monotonic_s()
+        self._last_used_at_s[peer_id] = self._clock.monotonic_s()
         return link
 
     async def _open(self, peer_id: str) -> Link:
         link = await self._dial(peer_id)
         self._links[peer_id] = link
         if len(self._links) > _MAX_LINKS:
-            oldest = min(self._links, key=lambda name: self._used_at_s.get(name, 0.0))
+            oldest = min(self._links, key=lambda name: self._last_used_at_s.get(name, 0.0))
             if oldest != peer_id:
                 await self._links[oldest].aclose()
         return link
 
-    def _dialled(self, peer_id: str, task: asyncio.Task[Link]) -> None:
+    def _dial_finished(self, peer_id: str, task: asyncio.Task[Link]) -> None:
         self._dialling.pop(peer_id, None)
         if not task.cancelled():
             task.exception()
 
-    async def _exchange(self, link: Link, kind: str, body: bytes) -> bytes:
-        self._number += 1
-        number = self._number
+    async def _send_call(self, link: Link, kind: str, body: bytes) -> bytes:
+        self._last_number += 1
+        number = self._last_number
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = (link, future)
+        self._pending[number] = (link, future)
         try:
             link.post(Call(number=number, kind=kind, body=body))
             return await future
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
-    def _start(self, link: Link, message: Call) -> None:
+    def _start_handler(self, link: Link, message: Call) -> None:
         handler = self._handlers.get(message.kind)
         if handler is None or len(self._tasks) >= _MAX_RUNNING_HANDLERS:
             reason = "no handler" if handler is None else "too many calls"
@@ -148,8 +148,8 @@
         except VerbenawindError as error:
             link.post(Reply(number=message.number, error=f"{error.code}: {error.message}"))
 
-    def _answered(self, message: Reply) -> None:
-        _, future = self._waiting.pop(message.number, (None, None))
+    def _handle_reply(self, message: Reply) -> None:
+        _, future = self._pending.pop(message.number, (None, None))
         if future is None or future.done():
             return
         if message.error:
--- a/src/verbenawind/membership/detector.py
+++ b/src/verbenawind/membership/detector.py
@@ -10,11 +10,11 @@
 
 __all__ = ["FailureDetector"]
 
-SILENCE_S = 2.0
-_PROBE_S = 0.8
-_HELPERS = 3
-_PAUSE_S = 1.0
-_FOREIGN_SILENCE_S = 4.0
+_SILENCE_S = 2.0
+_PROBE_TIMEOUT_S = 0.8
+_INDIRECT_PROBES = 3
+_PAUSE_THRESHOLD_S = 1.0
+_OTHER_ZONE_SILENCE_S = 4.0
 
 
 class FailureDetector:
@@ -33,13 +33,13 @@
 
     __slots__ = (
         "_clock",
+        "_last_number",
+        "_last_tick_at_s",
         "_links",
-        "_lost",
-        "_number",
-        "_probes",
+        "_lost_links",
+        "_relayed_probes",
         "_rng",
         "_roster",
-        "_ticked_at_s",
         "_zone",
     )
 
@@ -56,24 +56,24 @@
         self._rng = rng
         self._zone = zone
         self._links = links
-        self._number = 0
-        self._probes: dict[int, tuple[Link, int]] = {}
-        self._lost: dict[str, float] = {}
-        self._ticked_at_s = clock.monotonic_s()
+        self._last_number = 0
+        self._relayed_probes: dict[int, tuple[Link, int]] = {}
+        self._lost_links: dict[str, float] = {}
+        self._last_tick_at_s = clock.monotonic_s()
 
     def tick(self) -> None:
         """Judge every link; call it a few times a second."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._ticked_at_s > _PAUSE_S:
-            self._forgive(now_s)
-        self._ticked_at_s = now_s
+        if now_s - self._last_tick_at_s > _PAUSE_THRESHOLD_S:
+            self._reset_after_pause(now_s)
+        self._last_tick_at_s = now_s
         for link in list(self._links()):
-            self._judge(link, now_s)
-        for peer_id, since_s in list(self._lost.items()):
-            if self._linked(peer_id):
-                del self._lost[peer_id]
-            elif now_s - since_s >= _PROBE_S:
-                del self._lost[peer_id]
+            self._check_link(link, now_s)
+        for peer_id, since_s in list(self._lost_links.items()):
+            if self._is_linked(peer_id):
+                del self._lost_links[peer_id]
+            elif now_s - since_s >= _PROBE_TIMEOUT_S:
+                del self._lost_links[peer_id]
                 self._roster.suspect(peer_id, "its link closed and nobody hears it")
 
     def link_closed(self, link: Link) -> None:
@@ -83,8 +83,8 @@
             return
         if member.peer.incarnation > link.peer.incarnation:
             return
-        self._lost.setdefault(link.peer.peer_id, self._clock.monotonic_s())
-        self._ask_helpers(link)
+        self._lost_links.setdefault(link.peer.peer_id, self._clock.monotonic_s())
+        self._request_indirect_probes(link)
 
     def on_ping_request(self, link: Link, message: PingRequest) -> None:
         """Vouch for a peer that was heard lately, or ask it first."""
@@ -93,67 +93,67 @@
         )
         if subject is None:
             return
-        if self._clock.monotonic_s() - subject.heard_at_s < _PROBE_S:
+        if self._clock.monotonic_s() - subject.last_received_at_s < _PROBE_TIMEOUT_S:
             link.post(Pong(number=message.number, peer_id=message.peer_id))
             return
         number = self._next_number()
-        self._probes[number] = (link, message.number)
+        self._relayed_probes[number] = (link, message.number)
         subject.post(Ping(number=number))
 
     def on_pong(self, link: Link, message: Pong) -> None:
         """Take in a sign of life, for this daemon or for one that asked it to help."""
         if message.peer_id:
-            self._vouched(message.peer_id)
+            self._mark_alive(message.peer_id)
             return
-        asker = self._probes.pop(message.number, None)
-        if asker is not None:
-            asker[0].post(Pong(number=asker[1], peer_id=link.peer.peer_id))
+        requester = self._relayed_probes.pop(message.number, None)
+        if requester is not None:
+            requester[0].post(Pong(number=requester[1], peer_id=link.peer.peer_id))
 
-    def _judge(self, link: Link, now_s: float) -> None:
-        silent_s = now_s - link.heard_at_s
+    def _check_link(self, link: Link, now_s: float) -> None:
+        silent_s = now_s - link.last_received_at_s
         if link.peer.zone != self._zone:
-            link.closed = link.closed or silent_s >= _FOREIGN_SILENCE_S
+            link.closed = link.closed or silent_s >= _OTHER_ZONE_SILENCE_S
             return
-        if silent_s < SILENCE_S:
+        if silent_s < _SILENCE_S:
             return
         if link.probed_at_s is None:
             link.probed_at_s = now_s
             link.post(Ping(number=self._next_number()))
-            self._ask_helpers(link)
-        elif now_s - link.probed_at_s >= _PROBE_S:
+            self._request_indirect_probes(link)
+        elif now_s - link.probed_at_s >= _PROBE_TIMEOUT_S:
             link.closed = True
             self._roster.suspect(link.peer.peer_id, f"silent for {silent_s:.1f} s")
 
-    def _ask_helpers(self, link: Link) -> None:
+    def _request_indirect_probes(self, link: Link) -> None:
         subject = link.peer.peer_id
         helpers = [
             other
             for other in self._links()
             if other.peer.peer_id != subject and other.peer.zone == self._zone
         ]
-        for helper in self._rng.sample(helpers, min(_HELPERS, len(helpers))):
+        for helper in self._rng.sample(helpers, min(_INDIRECT_PROBES, len(helpers))):
             helper.post(PingRequest(number=self._next_number(), peer_id=subject))
 
-    def _vouched(self, peer_id: str) -> None:
-        self._lost.pop(peer_id, None)
+    def _mark_alive(self, peer_id: str) -> None:
+        self._lost_links.pop(peer_id, None)
         for link in self._links():
             if link.peer.peer_id == peer_id:
-                link.heard_at_s = self._clock.monotonic_s()
+                link.last_received_at_s = self._clock.monotonic_s()
                 link.probed_at_s = None
 
-    def _forgive(self, now_s: float) -> None:
+    def _reset_after_pause(self, now_s: float) -> None:
         for link in self._links():
-            link.heard_at_s = now_s
+            link.last_received_at_s = now_s
             link.probed_at_s = None
-        self._lost.clear()
-        self._probes.clear()
-        self._roster.forgive()
+        self._lost_links.clear()
+        self._relayed_probes.clear()
+        self._roster.restart_suspicions()
 
-    def _linked(self, peer_id: str) -> bool:
+    def _is_linked(self, peer_id: str) -> bool:
         return any(link.peer.peer_id == peer_id for link in self._links())
 
     def _next_number(self) -> int:
-        self._number += 1
-        if self._number % 256 == 0:
-            self._probes.clear()
-        return self._number
+        self._last_number += 1
+        if self._last_number % 256 == 0:
+            self._relayed_probes.clear()
+        return self._last_number
--- a/src/verbenawind/membership/dialling.py
+++ b/src/verbenawind/membership/dialling.py
@@ -20,8 +20,8 @@
 _MIN_BACKOFF_S = 0.5
 _MAX_BACKOFF_S = 8.0
 _MAX_PARALLEL_DIALS = 3
-_UNWANTED_S = 5.0
-_MERGE_PERIOD_S = 10.0
+_UNNEEDED_LINK_S = 5.0
+_SEED_DIAL_PERIOD_S = 10.0
 _MAX_SEEDS = 256
 
 
@@ -51,10 +51,10 @@
         "_dial",
         "_dialling",
         "_links",
-        "_listed",
+        "_listed_seeds",
         "_log",
-        "_merge_at_s",
-        "_not_before_s",
+        "_next_attempt_at_s",
+        "_next_seed_dial_at_s",
         "_rng",
         "_roster",
         "_seeds",
@@ -77,23 +77,23 @@
         self._rng = rng
         self._zone = zone
         self._seeds = [Seed(address=address) for address in seeds]
-        self._listed: list[Seed] = []
+        self._listed_seeds: list[Seed] = []
         self._links = links
         self._dial = dial
         self._dialling: dict[str, asyncio.Task[None]] = {}
         self._backoff_s: dict[str, float] = {}
-        self._not_before_s: dict[str, float] = {}
-        self._merge_at_s = 0.0
+        self._next_attempt_at_s: dict[str, float] = {}
+        self._next_seed_dial_at_s = 0.0
         self._wake = asyncio.Event()
         self._log = structlog.get_logger("membership")
 
     def add_seeds(self, seeds: Sequence[Seed]) -> None:
         """Replace the daemons that the platform's host list names."""
-        self._listed = list(seeds)[:_MAX_SEEDS]
+        self._listed_seeds = list(seeds)[:_MAX_SEEDS]
 
     def seeds(self) -> Sequence[Seed]:
         """Return every daemon that may exist, from the settings and the host list."""
-        return [*self._seeds, *self._listed]
+        return [*self._seeds, *self._listed_seeds]
 
     def wake(self) -> None:
         """Look at the topology again soon."""
@@ -103,7 +103,7 @@
         """Keep the daemon linked until cancelled."""
         try:
             while True:
-                self._step()
+                self._update_links()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(_PERIOD_S * self._rng.uniform(0.7, 1.3)):
                         await self._wake.wait()
@@ -114,36 +114,36 @@
                 task.cancel()
             await asyncio.gather(*self._dialling.values(), return_exceptions=True)
 
-    def _step(self) -> None:
+    def _update_links(self) -> None:
         if self._roster.superseded:
             for link in self._links():
                 link.closed = True
             return
-        wanted = self._wanted()
+        needed = self._needed_peers()
         linked = {link.peer.peer_id for link in self._links()}
-        for peer_id, address in wanted.items():
+        for peer_id, address in needed.items():
             if peer_id not in linked:
-                self._try(address)
-        self._look_around()
-        self._close_unwanted(wanted.keys())
+                self._dial_if_allowed(address)
+        self._dial_seeds()
+        self._close_unneeded(needed.keys())
 
-    def _wanted(self) -> dict[str, str]:
+    def _needed_peers(self) -> dict[str, str]:
         members = self._roster.members()
         by_zone = self._roster.by_zone()
         own_id = self._roster.peer_id
-        names = [
+        peer_ids = [
             *zone_targets(own_id, by_zone.get(self._zone, ())),
             *bridge_targets(own_id, self._zone, by_zone).values(),
         ]
-        return {name: members[name].peer.address for name in names}
+        return {name: members[name].peer.address for name in peer_ids}
 
-    def _look_around(self) -> None:
+    def _dial_seeds(self) -> None:
         """Dial seeds while alone, and now and then one that no member is at."""
         now_s = self._clock.monotonic_s()
-        alone = not self._links()
-        if not alone and now_s < self._merge_at_s:
+        isolated = not self._links()
+        if not isolated and now_s < self._next_seed_dial_at_s:
             return
-        self._merge_at_s = now_s + _MERGE_PERIOD_S * self._rng.uniform(0.5, 1.5)
+        self._next_seed_dial_at_s = now_s + _SEED_DIAL_PERIOD_S * self._rng.uniform(0.5, 1.5)
         present = {peer.address for peer in self._roster.present()}
         candidates = [
             seed
@@ -151,26 +151,26 @@
             if seed.address != self._roster.address and seed.address not in present
         ]
         own_zone = [seed for seed in candidates if seed.zone in ("", self._zone)]
-        count = _MAX_PARALLEL_DIALS if alone else 1
-        near = self._rng.sample(own_zone, min(count, len(own_zone)))
-        far = self._rng.sample(candidates, min(1, len(candidates)))
-        for seed in [*near, *far]:
-            self._try(seed.address)
-        if alone:
+        count = _MAX_PARALLEL_DIALS if isolated else 1
+        own_zone_sample = self._rng.sample(own_zone, min(count, len(own_zone)))
+        any_zone_sample = self._rng.sample(candidates, min(1, len(candidates)))
+        for seed in [*own_zone_sample, *any_zone_sample]:
+            self._dial_if_allowed(seed.address)
+        if isolated:
             for peer in self._rng.sample(self._roster.present(), min(count, len(present))):
-                self._try(peer.address)
+                self._dial_if_allowed(peer.address)
 
     def verify(self, address: str) -> None:
         """Dial the address of a peer whose link broke after it had worked for a while."""
         self._backoff_s.pop(address, None)
-        self._not_before_s.pop(address, None)
-        self._try(address)
+        self._next_attempt_at_s.pop(address, None)
+        self._dial_if_allowed(address)
 
-    def _try(self, address: str) -> None:
+    def _dial_if_allowed(self, address: str) -> None:
         now_s = self._clock.monotonic_s()
         if address in self._dialling or len(self._dialling) >= 2 * _MAX_PARALLEL_DIALS:
             return
-        if now_s < self._not_before_s.get(address, 0.0):
+        if now_s < self._next_attempt_at_s.get(address, 0.0):
             return
         task = asyncio.get_running_loop().create_task(self._attempt(address))
         self._dialling[address] = task
@@ -181,25 +181,25 @@
             await self._dial(address)
         except (PeerUnreachable, PeerUnauthenticated) as error:
             self._log.debug("peer_dial_failed", address=address, reason=error.message)
-        self._back_off(address)
+        self._record_attempt(address)
 
-    def _back_off(self, address: str) -> None:
+    def _record_attempt(self, address: str) -> None:
         """Space dials out, also after a success: a link that breaks early counts as a failure."""
         if len(self._backoff_s) > 4 * _MAX_SEEDS:
             self._backoff_s.clear()
-            self._not_before_s.clear()
+            self._next_attempt_at_s.clear()
         backoff_s = min(_MAX_BACKOFF_S, 2 * self._backoff_s.get(address, _MIN_BACKOFF_S / 2))
         self._backoff_s[address] = backoff_s
         wait_s = self._rng.uniform(0.5, 1.0) * backoff_s
-        self._not_before_s[address] = self._clock.monotonic_s() + wait_s
+        self._next_attempt_at_s[address] = self._clock.monotonic_s() + wait_s
 
-    def _close_unwanted(self, wanted: Collection[str]) -> None:
+    def _close_unneeded(self, needed: Collection[str]) -> None:
         now_s = self._clock.monotonic_s()
         for link in self._links():
-            if not link.dialled or link.peer.peer_id in wanted:
-                link.unwanted_since_s = None
-            elif link.unwanted_since_s is None:
-                link.unwanted_since_s = now_s
-            elif now_s - link.unwanted_since_s >= _UNWANTED_S:
-                link.parted = True
+            if not link.dialled or link.peer.peer_id in needed:
+                link.unneeded_since_s = None
+            elif link.unneeded_since_s is None:
+                link.unneeded_since_s = now_s
+            elif now_s - link.unneeded_since_s >= _UNNEEDED_LINK_S:
+                link.closing_gracefully = True
                 link.closed = True
--- a/src/verbenawind/membership/gossip.py
+++ b/src/verbenawind/membership/gossip.py
@@ -17,13 +17,13 @@
 
 __all__ = ["Gossip"]
 
-_PUSHED_BODY_BYTES = 512
-_SYNC_SPACING_S = 0.5
-_SETTLING_S = 0.5
-_QUIET_S = 2.5
-_BUCKETS_COMPARED = 4
-_SHORT_DIGEST = 0xFFFF_FFFF
-_REPEATS_TO_PRUNE = 4
+_MAX_PUSHED_BODY_BYTES = 512
+_MIN_SYNC_INTERVAL_S = 0.5
+_URGENT_SETTLING_S = 0.5
+_BUCKET_SETTLING_S = 2.5
+_BUCKETS_PER_HEARTBEAT = 4
+_SHORT_DIGEST_MASK = 0xFFFF_FFFF
+_DUPLICATES_TO_PRUNE = 4
 
 
 class Gossip:
@@ -37,7 +37,7 @@
         merged: Called with each item that is new here.
     """
 
-    __slots__ = ("_clock", "_links", "_merged", "_store", "_urgent_at_s", "_zone")
+    __slots__ = ("_clock", "_links", "_on_merged", "_store", "_urgent_changed_at_s", "_zone")
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         clock: Clock,
         zone: str,
         links: Callable[[], Collection[Link]],
-        merged: Callable[[SpreadItem], None],
+        on_merged: Callable[[SpreadItem], None],
     ) -> None:
         self._store = store
         self._clock = clock
         self._zone = zone
         self._links = links
-        self._merged = merged
-        self._urgent_at_s = 0.0
+        self._on_merged = on_merged
+        self._urgent_changed_at_s = 0.0
 
     def spread(self, item: SpreadItem, origin: Link | None = None) -> bool:
         """Merge an item and send it on, except to *origin*; return whether it was new."""
@@ -60,64 +60,66 @@
             return False
         item_class = self._store.class_of(item.kind)
         if item_class is ItemClass.URGENT:
-            self._urgent_at_s = self._clock.monotonic_s()
+            self._urgent_changed_at_s = self._clock.monotonic_s()
         for link in self._links():
-            if link is not origin and self._travels(item_class, link):
-                self._send_on(link, item, item_class)
-        self._merged(item)
+            if link is not origin and self._is_sent_on(item_class, link):
+                self._forward(link, item, item_class)
+        self._on_merged(item)
         return True
 
     def heartbeat(self, link: Link) -> None:
         """Send a sign of life, with the digests of one bucket more each time."""
-        turn, group = divmod(link.beats, BUCKETS // _BUCKETS_COMPARED)
-        link.beats += 1
+        turn, bucket_group = divmod(link.heartbeat_count, BUCKETS // _BUCKETS_PER_HEARTBEAT)
+        link.heartbeat_count += 1
         in_zone = link.peer.zone == self._zone
         bulk = ItemClass.BULK_IN_ZONE if in_zone and turn % 2 else ItemClass.BULK
-        first = group * _BUCKETS_COMPARED
-        buckets = range(first, first + _BUCKETS_COMPARED)
-        urgent_digest = self._store.total_digest(ItemClass.URGENT) if self._settled() else None
+        first = bucket_group * _BUCKETS_PER_HEARTBEAT
+        buckets = range(first, first + _BUCKETS_PER_HEARTBEAT)
+        urgent_digest = (
+            self._store.total_digest(ItemClass.URGENT) if self._urgent_settled() else None
+        )
         link.post(
             Heartbeat(
                 urgent_digest=urgent_digest,
                 bulk_class=int(bulk),
                 first_bucket=first,
-                bucket_digests=tuple(self._quiet_digest(bulk, bucket) for bucket in buckets),
+                bucket_digests=tuple(self._settled_digest(bulk, bucket) for bucket in buckets),
             )
         )
 
-    def _quiet_digest(self, item_class: ItemClass, bucket: int) -> int | None:
+    def _settled_digest(self, item_class: ItemClass, bucket: int) -> int | None:
         """Return a bucket's short digest, None when it changed lately."""
-        if self._store.quiet_s(item_class, bucket) < _QUIET_S:
+        if self._store.unchanged_s(item_class, bucket) < _BUCKET_SETTLING_S:
             return None
-        return self._store.bucket_digests(item_class)[bucket] & _SHORT_DIGEST
+        return self._store.bucket_digests(item_class)[bucket] & _SHORT_DIGEST_MASK
 
-    def _settled(self) -> bool:
-        return self._clock.monotonic_s() - self._urgent_at_s >= _SETTLING_S
+    def _urgent_settled(self) -> bool:
+        return self._clock.monotonic_s() - self._urgent_changed_at_s >= _URGENT_SETTLING_S
 
     def on_heartbeat(self, link: Link, message: Heartbeat) -> None:
         """Compare digests, and start a repair where they differ."""
         now_s = self._clock.monotonic_s()
-        if now_s - link.synced_at_s < _SYNC_SPACING_S:
+        if now_s - link.synced_at_s < _MIN_SYNC_INTERVAL_S:
             return
-        own_digest = self._store.total_digest(ItemClass.URGENT)
-        if self._settled() and message.urgent_digest not in (None, own_digest):
+        local_digest = self._store.total_digest(ItemClass.URGENT)
+        if self._urgent_settled() and message.urgent_digest not in (None, local_digest):
             link.synced_at_s = now_s
             digests = tuple(self._store.bucket_digests(ItemClass.URGENT))
             link.post(BucketDigests(item_class=int(ItemClass.URGENT), digests=digests))
         bulk = ItemClass(message.bulk_class)
         differing = []
         for bucket, digest in enumerate(message.bucket_digests, message.first_bucket):
-            own = self._quiet_digest(bulk, bucket)
+            own = self._settled_digest(bulk, bucket)
             if None not in (own, digest) and own != digest:
                 differing.append(bucket)
         if differing:
             link.synced_at_s = now_s
-            self._summarize(link, bulk, tuple(differing))
+            self._send_summary(link, bulk, tuple(differing))
 
-    def open(self, link: Link) -> None:
+    def start_sync(self, link: Link) -> None:
         """Compare everything with a peer whose link has just opened."""
         for item_class in ItemClass:
-            if self._travels(item_class, link):
+            if self._is_sent_on(item_class, link):
                 digests = tuple(self._store.bucket_digests(item_class))
                 link.post(BucketDigests(item_class=int(item_class), digests=digests))
 
@@ -127,7 +129,7 @@
         own = self._store.bucket_digests(item_class)
         differing = [bucket for bucket in range(BUCKETS) if own[bucket] != message.digests[bucket]]
         if differing:
-            self._summarize(link, item_class, tuple(differing))
+            self._send_summary(link, item_class, tuple(differing))
 
     def on_summary(self, link: Link, message: Summary) -> None:
         """Push what the peer lacks and ask for what is missing here."""
@@ -162,18 +164,22 @@
             item = entry.item()
             new = self.spread(item, link)
             if self._store.class_of(item.kind) is not ItemClass.URGENT:
-                link.repeats = max(0, link.repeats + (-1 if new else 1))
-        if link.repeats >= _REPEATS_TO_PRUNE and link.eager and self._other_eager(link):
-            link.repeats = 0
+                link.duplicates = max(0, link.duplicates + (-1 if new else 1))
+        if (
+            link.duplicates >= _DUPLICATES_TO_PRUNE
+            and link.eager
+            and self._has_other_eager_link(link)
+        ):
+            link.duplicates = 0
             link.eager = False
             link.post(Prune())
 
     def on_prune(self, link: Link) -> None:
         """Stop pushing bulk items on a link."""
-        if self._other_eager(link):
+        if self._has_other_eager_link(link):
             link.eager = False
 
-    def _other_eager(self, link: Link) -> bool:
+    def _has_other_eager_link(self, link: Link) -> bool:
         if link.peer.zone != self._zone:
             return False  # Links between zones are few, and each may be the only one that works.
         return any(
@@ -182,20 +188,20 @@
             if other is not link
         )
 
-    def _travels(self, item_class: ItemClass, link: Link) -> bool:
+    def _is_sent_on(self, item_class: ItemClass, link: Link) -> bool:
         return item_class is not ItemClass.BULK_IN_ZONE or link.peer.zone == self._zone
 
-    def _send_on(self, link: Link, item: SpreadItem, item_class: ItemClass) -> None:
+    def _forward(self, link: Link, item: SpreadItem, item_class: ItemClass) -> None:
         if item_class is not ItemClass.URGENT:
             if link.eager:
                 link.post_item(item, bulk=True)
             return
-        if len(item.body) <= _PUSHED_BODY_BYTES:
+        if len(item.body) <= _MAX_PUSHED_BODY_BYTES:
             link.post_item(item)
             return
         entries = (self._store.hash_of(item),)
         link.post(Summary(item_class=int(item_class), buckets=(), entries=entries))
 
-    def _summarize(self, link: Link, item_class: ItemClass, buckets: tuple[int, ...]) -> None:
+    def _send_summary(self, link: Link, item_class: ItemClass, buckets: tuple[int, ...]) -> None:
         entries = tuple(self._store.hashes(item_class, buckets).items())
         link.post(Summary(item_class=int(item_class), buckets=buckets, entries=entries))
--- a/src/verbenawind/membership/handshake.py
+++ b/src/verbenawind/membership/handshake.py
@@ -17,7 +17,7 @@
 T = TypeVar("T", Hello, Challenge, Proof)
 
 _NONCE_BYTES = 16
-_TIMEOUT_S = 2.0
+_RECEIVE_TIMEOUT_S = 2.0
 _DIALLER = b"dialler"
 _ACCEPTOR = b"acceptor"
 
@@ -48,10 +48,10 @@
     proof = await _receive(channel, Proof)
     if not hmac.compare_digest(proof.mac, _mac(key, _ACCEPTOR, nonces, proof.hello)):
         raise PeerUnauthenticated("the dialled peer could not prove the shared key")
-    answer = decode(proof.hello)[0]
-    if not isinstance(answer, Hello):
+    remote_hello = decode(proof.hello)[0]
+    if not isinstance(remote_hello, Hello):
         raise PeerUnauthenticated("the dialled peer did not say who it is")
-    return _identity(answer)
+    return _identity(remote_hello)
 
 
 async def accept_link(channel: PeerChannel, key: bytes, own: Identity) -> Identity:
@@ -75,10 +75,10 @@
 
 async def _receive(channel: PeerChannel, kind: type[T]) -> T:
     try:
-        async with asyncio.timeout(_TIMEOUT_S):
+        async with asyncio.timeout(_RECEIVE_TIMEOUT_S):
             data = await channel.receive()
     except TimeoutError as error:
-        raise PeerUnreachable(f"no {kind.__name__} within {_TIMEOUT_S} s") from error
+        raise PeerUnreachable(f"no {kind.__name__} within {_RECEIVE_TIMEOUT_S} s") from error
     messages = decode(data)
     if len(messages) != 1 or not isinstance(messages[0], kind):
         raise PeerUnauthenticated(f"the peer sent no {kind.__name__}")
--- a/src/verbenawind/membership/link.py
+++ b/src/verbenawind/membership/link.py
@@ -14,7 +14,7 @@
 __all__ = ["Link", "Traffic"]
 
 _FLUSH_DELAY_S = 0.02
-_BULK_SPACING_S = 0.3
+_BULK_INTERVAL_S = 0.3
 _MAX_QUEUED_MESSAGES = 512
 
 
@@ -50,18 +50,18 @@
         "_sent_at_s",
         "_traffic",
         "_wake",
-        "beats",
         "closed",
+        "closing_gracefully",
         "dialled",
+        "duplicates",
         "eager",
-        "heard_at_s",
+        "heartbeat_count",
+        "last_received_at_s",
         "opened_at_s",
-        "parted",
         "peer",
         "probed_at_s",
-        "repeats",
         "synced_at_s",
-        "unwanted_since_s",
+        "unneeded_since_s",
     )
 
     def __init__(
@@ -78,15 +78,15 @@
         self.peer = peer
         self.dialled = dialled
         self.opened_at_s = clock.monotonic_s()
-        self.beats = zlib.crc32(f"{peer.peer_id}{self.opened_at_s}".encode())
+        self.heartbeat_count = zlib.crc32(f"{peer.peer_id}{self.opened_at_s}".encode())
         self.closed = False
-        self.parted = False
+        self.closing_gracefully = False
         self.eager = True
-        self.repeats = 0
-        self.heard_at_s = self.opened_at_s
+        self.duplicates = 0
+        self.last_received_at_s = self.opened_at_s
         self.synced_at_s = float("-inf")
         self.probed_at_s: float | None = None
-        self.unwanted_since_s: float | None = None
+        self.unneeded_since_s: float | None = None
 
     def post(self, message: Message) -> None:
         """Queue a message; only the newest heartbeat waits, and a full queue closes the link."""
@@ -116,7 +116,7 @@
                 data = await self._channel.receive()
                 self._traffic.received_bytes += len(data)
                 self._traffic.received_frames += 1
-                self.heard_at_s = self._clock.monotonic_s()
+                self.last_received_at_s = self._clock.monotonic_s()
                 self.probed_at_s = None
                 for message in decode(data):
                     await handle(self, message)
@@ -144,9 +144,9 @@
         self._traffic.sent_frames += 1
         await self._channel.send(data)
 
-    async def part(self) -> None:
+    async def close_gracefully(self) -> None:
         """Close the link on purpose, so that the peer does not take it for a crash."""
-        self.parted = True
+        self.closing_gracefully = True
         self._messages.append(Bye())
         with contextlib.suppress(PeerUnreachable):
             await self.flush()
@@ -158,9 +158,9 @@
         with contextlib.suppress(PeerUnreachable):
             await self._channel.aclose()
 
-    async def _gather(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Wait for more bulk items if a frame went out lately, unless something else is due."""
-        wait_s = self._sent_at_s + _BULK_SPACING_S - self._clock.monotonic_s()
+        wait_s = self._sent_at_s + _BULK_INTERVAL_S - self._clock.monotonic_s()
         if wait_s <= 0 or self._wake.is_set():
             return
         with contextlib.suppress(TimeoutError):
@@ -171,7 +171,7 @@
         while not self.closed:
             await self._pending.wait()
             await self._clock.sleep(_FLUSH_DELAY_S)
-            await self._gather()
+            await self._wait_for_batch()
             self._pending.clear()
             self._wake.clear()
             try:
--- a/src/verbenawind/membership/roster.py
+++ b/src/verbenawind/membership/roster.py
@@ -16,10 +16,10 @@
 
 MEMBER_KIND = "member"
 _REFRESH_S = 1800.0
-_UNREFRESHED_S = 6000.0
-_ENDED_KEPT_S = 120.0
-_SUSPICION_S = 1.0
-_CONFLICTS_TOLERATED = 3
+_MEMBER_EXPIRY_S = 6000.0
+_ENDED_RETENTION_S = 120.0
+_SUSPICION_TIMEOUT_S = 1.0
+_MAX_ID_CONFLICTS = 3
 
 
 class MemberStatus(IntEnum):
@@ -31,11 +31,11 @@
     LEFT = 3
 
 
-class _Body(msgspec.Struct, frozen=True, array_like=True):
+class _MemberBody(msgspec.Struct, frozen=True, array_like=True):
     address: str
     zone: str
     region: str
-    boot: int
+    start_id: int
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,7 +43,7 @@
 
     peer: Peer
     status: MemberStatus
-    boot: int
+    start_id: int
     changed_at_s: float
 
     @property
@@ -65,9 +65,8 @@
     """
 
     __slots__ = (
-        "_boot",
         "_clock",
-        "_conflicts",
+        "_id_conflicts",
         "_location",
         "_log",
         "_members",
@@ -75,6 +74,7 @@
         "_refreshed_at_s",
         "_sequence",
         "_spread",
+        "_start_id",
         "_store",
         "address",
         "incarnation",
@@ -88,19 +88,19 @@
         clock: Clock,
         location: Location,
         peer_id: str,
-        boot: int,
+        start_id: int,
         spread: Callable[[SpreadItem], None],
     ) -> None:
         self._store = store
         self._clock = clock
         self._location = location
-        self._boot = boot
+        self._start_id = start_id
         self._spread = spread
         self._members: dict[str, Member] = {}
-        self._conflicts = 0
+        self._id_conflicts = 0
         self._sequence = 0
         self._refreshed_at_s = 0.0
-        self._refresh_s = _REFRESH_S * (0.75 + 0.5 * (boot % 1024) / 1024)
+        self._refresh_s = _REFRESH_S * (0.75 + 0.5 * (start_id % 1024) / 1024)
         self._log = structlog.get_logger("membership")
         self.peer_id = peer_id
         self.address = ""
@@ -111,11 +111,11 @@
         """Begin an incarnation at *address*; it is above what an earlier start had."""
         self.address = address
         self.incarnation = int(self._clock.now().timestamp() * 1000)
-        self._publish(MemberStatus.ALIVE)
+        self._publish_own(MemberStatus.ALIVE)
 
     def leave(self) -> None:
         """Tell that this daemon leaves."""
-        self._publish(MemberStatus.LEFT)
+        self._publish_own(MemberStatus.LEFT)
 
     def members(self) -> Mapping[str, Member]:
         """Return the other daemons, also those that ended lately."""
@@ -132,14 +132,14 @@
             zones.setdefault(peer.location.zone, []).append(peer.peer_id)
         return zones
 
-    def take_in(self, item: SpreadItem) -> None:
+    def apply(self, item: SpreadItem) -> None:
         """Take in a member item that the store has merged."""
         incarnation, status, _ = item.rank
-        body = msgspec.convert(cbor2.loads(item.body), type=_Body)
+        body = msgspec.convert(cbor2.loads(item.body), type=_MemberBody)
         if item.key == self.peer_id:
-            self._answer(incarnation, MemberStatus(status), body)
+            self._refute(incarnation, MemberStatus(status), body)
             return
-        known = self._members.get(item.key)
+        previous = self._members.get(item.key)
         member = Member(
             peer=Peer(
                 peer_id=item.key,
@@ -148,17 +148,17 @@
                 incarnation=incarnation,
             ),
             status=MemberStatus(status),
-            boot=body.boot,
+            start_id=body.start_id,
             changed_at_s=self._clock.monotonic_s(),
         )
         self._members[item.key] = member
-        if known is None or known.status is not member.status:
+        if previous is None or previous.status is not member.status:
             self._log.info(
                 "member_changed",
                 peer=item.key,
                 status=member.status.name.lower(),
                 incarnation=incarnation,
-                reason="first seen" if known is None else f"was {known.status.name.lower()}",
+                reason="first seen" if previous is None else f"was {previous.status.name.lower()}",
             )
 
     def suspect(self, peer_id: str, reason: str) -> None:
@@ -167,41 +167,41 @@
         if member is None or member.status is not MemberStatus.ALIVE:
             return
         self._log.info("member_suspected", peer=peer_id, reason=reason)
-        self._mark(member, MemberStatus.SUSPECT)
+        self._spread_status(member, MemberStatus.SUSPECT)
 
     def tick(self) -> None:
         """End suspicions that nobody refuted, refresh the own item and forget old members."""
         now_s = self._clock.monotonic_s()
         for member in list(self._members.values()):
             idle_s = now_s - member.changed_at_s
-            if member.status is MemberStatus.SUSPECT and idle_s >= _SUSPICION_S:
+            if member.status is MemberStatus.SUSPECT and idle_s >= _SUSPICION_TIMEOUT_S:
                 if member.peer.location.zone == self._location.zone:
-                    self._mark(member, MemberStatus.DEAD)
-            elif idle_s >= (_UNREFRESHED_S if member.present else _ENDED_KEPT_S):
+                    self._spread_status(member, MemberStatus.DEAD)
+            elif idle_s >= (_MEMBER_EXPIRY_S if member.present else _ENDED_RETENTION_S):
                 self._members.pop(member.peer.peer_id)
                 self._store.drop(MEMBER_KIND, member.peer.peer_id)
         if now_s - self._refreshed_at_s >= self._refresh_s and not self.superseded:
             self._sequence += 1
-            self._publish(MemberStatus.ALIVE)
+            self._publish_own(MemberStatus.ALIVE)
 
-    def forgive(self) -> None:
+    def restart_suspicions(self) -> None:
         """Restart every suspicion: this daemon was paused and could not hear refutations."""
         now_s = self._clock.monotonic_s()
         for peer_id, member in self._members.items():
             if member.status is MemberStatus.SUSPECT:
                 self._members[peer_id] = msgspec.structs.replace(member, changed_at_s=now_s)
 
-    def _answer(self, incarnation: int, status: MemberStatus, body: _Body) -> None:
-        ours = body.boot == self._boot
+    def _refute(self, incarnation: int, status: MemberStatus, body: _MemberBody) -> None:
+        own_start = body.start_id == self._start_id
         if incarnation < self.incarnation or self.superseded:
             return
-        if ours and status is MemberStatus.ALIVE:
+        if own_start and status is MemberStatus.ALIVE:
             return
-        if status is MemberStatus.LEFT and ours:
+        if status is MemberStatus.LEFT and own_start:
             return
-        if not ours and status is MemberStatus.ALIVE:
-            self._conflicts += 1
-            if self._conflicts > _CONFLICTS_TOLERATED and self._boot < body.boot:
+        if not own_start and status is MemberStatus.ALIVE:
+            self._id_conflicts += 1
+            if self._id_conflicts > _MAX_ID_CONFLICTS and self._start_id < body.start_id:
                 self.superseded = True
                 self._log.error(
                     "daemon_id_duplicated",
@@ -214,11 +214,11 @@
             "own_status_refuted", status=status.name.lower(), incarnation=incarnation + 1
         )
         self.incarnation = incarnation + 1
-        self._publish(MemberStatus.ALIVE)
+        self._publish_own(MemberStatus.ALIVE)
 
-    def _publish(self, status: MemberStatus) -> None:
+    def _publish_own(self, status: MemberStatus) -> None:
         self._refreshed_at_s = self._clock.monotonic_s()
-        body = _Body(self.address, self._location.zone, self._location.region, self._boot)
+        body = _MemberBody(self.address, self._location.zone, self._location.region, self._start_id)
         self._spread(
             SpreadItem(
                 kind=MEMBER_KIND,
@@ -228,9 +228,9 @@
             )
         )
 
-    def _mark(self, member: Member, status: MemberStatus) -> None:
+    def _spread_status(self, member: Member, status: MemberStatus) -> None:
         peer = member.peer
-        body = _Body(peer.address, peer.location.zone, peer.location.region, member.boot)
+        body = _MemberBody(peer.address, peer.location.zone, peer.location.region, member.start_id)
         self._spread(
             SpreadItem(
                 kind=MEMBER_KIND,
--- a/src/verbenawind/membership/servers.py
+++ b/src/verbenawind/membership/servers.py
@@ -27,16 +27,16 @@
 __all__ = ["LEAVING_KIND", "ServerDirectory"]
 
 LEAVING_KIND = "leaving"
-_KIND_IN_ZONE = "server"
-_KIND_REMOTE = "server-remote"
+_SERVER_KIND = "server"
+_REMOTE_SERVER_KIND = "server-remote"
 _READERS_PER_ZONE = 2
 _READER_PERIOD_S = 1.5
-_OTHERS_PERIOD_S = 45.0
-_SHOWN_TO_OTHER_ZONES = 16
-_CONFIRMATIONS = 2
-_MASS_LOSS_CONFIRMATIONS = 10
+_NON_READER_PERIOD_S = 45.0
+_MAX_SHOWN_TO_OTHER_ZONES = 16
+_READS_TO_CONFIRM = 2
+_READS_TO_CONFIRM_MASS_LOSS = 10
 _GONE_EXPIRY_S = 3600.0
-_GONE_KEPT = 1024
+_MAX_GONE_KEPT = 1024
 _BACKEND_KINDS = {
     HostRole.ENGINE: BackendKind.ENGINE,
     HostRole.SERVICE: BackendKind.SERVICE,
@@ -44,24 +44,24 @@
 }
 
 
-class _State(StrEnum):
+class _ServerState(StrEnum):
     LIVE = "live"
     LEAVING = "leaving"
     GONE = "gone"
 
 
-class _Body(msgspec.Struct, frozen=True, array_like=True):
+class _ServerBody(msgspec.Struct, frozen=True, array_like=True):
     kind: BackendKind
     group: str
     address: str
     zone: str
     region: str
-    state: _State
+    state: _ServerState
 
 
-class _Known(msgspec.Struct, frozen=True):
+class _KnownServer(msgspec.Struct, frozen=True):
     rank: tuple[int, ...]
-    body: _Body
+    body: _ServerBody
 
 
 class ServerDirectory:
@@ -78,7 +78,7 @@
         rng: Jitter.
     """
 
-    __slots__ = ("_clock", "_doubts", "_fleet", "_hosts", "_known", "_log", "_peers", "_rng")
+    __slots__ = ("_clock", "_fleet", "_hosts", "_known", "_log", "_mismatches", "_peers", "_rng")
 
     def __init__(
         self, fleet: Fleet, hosts: HostList, peers: GossipBus, clock: Clock, rng: Random
@@ -88,15 +88,15 @@
         self._peers = peers
         self._clock = clock
         self._rng = rng
-        self._known: dict[str, _Known] = {}
-        self._doubts: dict[str, int] = {}
+        self._known: dict[str, _KnownServer] = {}
+        self._mismatches: dict[str, int] = {}
         self._log = structlog.get_logger("membership")
-        for kind in (_KIND_IN_ZONE, _KIND_REMOTE):
+        for kind in (_SERVER_KIND, _REMOTE_SERVER_KIND):
             peers.on_item(kind, self._on_server)
         peers.on_item(LEAVING_KIND, self._on_leaving)
         fleet.on_leaving(self._spread_leaving)
 
-    def shown_to_other_zones(self, server: BackendServer) -> bool:
+    def is_shown_to_other_zones(self, server: BackendServer) -> bool:
         """Return whether other zones learn of a server; of a large group they see a part."""
         siblings = [view.server for view in self._fleet.group(server.kind, server.group)]
         ids = [
@@ -104,12 +104,12 @@
             for sibling in siblings
             if sibling.location.zone == server.location.zone
         ]
-        if len(ids) <= _SHOWN_TO_OTHER_ZONES:
+        if len(ids) <= _MAX_SHOWN_TO_OTHER_ZONES:
             return True
         key = f"{server.location.zone}/{server.group}"
-        return server.server_id in top(key, ids, _SHOWN_TO_OTHER_ZONES)
+        return server.server_id in top(key, ids, _MAX_SHOWN_TO_OTHER_ZONES)
 
-    def cares_for(self, zone: str) -> bool:
+    def is_responsible_for(self, zone: str) -> bool:
         """Return whether this daemon speaks for a zone: its own, or one without daemons."""
         return zone == self._fleet.location.zone or zone not in self._peers.roster.by_zone()
 
@@ -135,64 +135,67 @@
         )
         servers = {entry.host_id: entry for entry in entries if entry.role in _BACKEND_KINDS}
         for entry in servers.values():
-            if self.cares_for(entry.location.zone):
-                self._take_entry(entry)
-        self._take_absences(servers)
+            if self.is_responsible_for(entry.location.zone):
+                self._apply_entry(entry)
+        self._process_absent(servers)
 
     def _period_s(self) -> float:
         own_id, zone = self._peers.peer_id, self._fleet.location.zone
         daemons = [*self._peers.roster.by_zone().get(zone, ()), own_id]
         if own_id in top(f"hosts/{zone}", daemons, _READERS_PER_ZONE):
             return _READER_PERIOD_S
-        return _OTHERS_PERIOD_S
+        return _NON_READER_PERIOD_S
 
-    def _take_entry(self, entry: HostEntry) -> None:
-        body = _Body(
+    def _apply_entry(self, entry: HostEntry) -> None:
+        body = _ServerBody(
             kind=_BACKEND_KINDS[entry.role],
             group=entry.group,
             address=entry.address,
             zone=entry.location.zone,
             region=entry.location.region,
-            state=_State.LEAVING if entry.state is HostState.LEAVING else _State.LIVE,
+            state=_ServerState.LEAVING if entry.state is HostState.LEAVING else _ServerState.LIVE,
         )
         known = self._known.get(entry.host_id)
         if known is None or entry.incarnation > known.rank[0]:
             self._publish(entry.host_id, (entry.incarnation, 0), body)
         elif entry.incarnation < known.rank[0] or body == known.body:
-            self._doubts.pop(entry.host_id, None)
-        elif body.state is _State.LEAVING or self._confirmed(entry.host_id, _CONFIRMATIONS):
+            self._mismatches.pop(entry.host_id, None)
+        elif body.state is _ServerState.LEAVING or self._count_mismatch(
+            entry.host_id, _READS_TO_CONFIRM
+        ):
             self._publish(entry.host_id, (known.rank[0], known.rank[1] + 1), body)
 
-    def _take_absences(self, listed: Mapping[str, HostEntry]) -> None:
+    def _process_absent(self, listed: Mapping[str, HostEntry]) -> None:
         known = [
             server_id
             for server_id, known in self._known.items()
-            if known.body.state is not _State.GONE and self.cares_for(known.body.zone)
+            if known.body.state is not _ServerState.GONE
+            and self.is_responsible_for(known.body.zone)
         ]
         absent = [server_id for server_id in known if server_id not in listed]
-        needed = _CONFIRMATIONS
+        required = _READS_TO_CONFIRM
         if len(absent) > 1 and 2 * len(absent) > len(known):
             # A list that lost most servers at once is more likely wrong than they are gone.
             self._log.warning("host_list_doubted", absent=len(absent), known=len(known))
-            needed = _MASS_LOSS_CONFIRMATIONS
+            required = _READS_TO_CONFIRM_MASS_LOSS
         for server_id in absent:
-            if self._confirmed(server_id, needed):
+            if self._count_mismatch(server_id, required):
                 rank, body = self._known[server_id].rank, self._known[server_id].body
-                gone = msgspec.structs.replace(body, state=_State.GONE)
+                gone = msgspec.structs.replace(body, state=_ServerState.GONE)
                 self._publish(server_id, (rank[0], rank[1] + 1), gone)
 
-    def _confirmed(self, server_id: str, needed: int) -> bool:
-        self._doubts[server_id] = self._doubts.get(server_id, 0) + 1
-        if self._doubts[server_id] < needed:
+    def _count_mismatch(self, server_id: str, required: int) -> bool:
+        self._mismatches[server_id] = self._mismatches.get(server_id, 0) + 1
+        if self._mismatches[server_id] < required:
             return False
-        del self._doubts[server_id]
+        del self._mismatches[server_id]
         return True
 
-    def _publish(self, server_id: str, rank: tuple[int, ...], body: _Body) -> None:
+    def _publish(self, server_id: str, rank: tuple[int, ...], body: _ServerBody) -> None:
         expires_at_s = 0.0
-        if body.state is _State.GONE:
+        if body.state is _ServerState.GONE:
             expires_at_s = self._clock.now().timestamp() + _GONE_EXPIRY_S
-        for kind in self._kinds(server_id, body):
+        for kind in self._item_kinds(server_id, body):
             self._peers.spread(
                 SpreadItem(
                     kind=kind,
@@ -204,47 +207,51 @@
             )
 
         leaving = self._peers.store.get(LEAVING_KIND, server_id)
-        outlived = leaving is not None and (body.state is _State.GONE or rank[0] > leaving.rank[0])
-        if outlived and leaving is not None and leaving.expires_at_s == 0.0:
+        superseded = leaving is not None and (
+            body.state is _ServerState.GONE or rank[0] > leaving.rank[0]
+        )
+        if superseded and leaving is not None and leaving.expires_at_s == 0.0:
             until_s = self._clock.now().timestamp() + _GONE_EXPIRY_S
             self._peers.spread(msgspec.structs.replace(leaving, expires_at_s=until_s))
 
-    def _kinds(self, server_id: str, body: _Body) -> Sequence[str]:
+    def _item_kinds(self, server_id: str, body: _ServerBody) -> Sequence[str]:
         """Return the kind that fits, and any under which an older item is about."""
-        shown = self.shown_to_other_zones(_server(server_id, 0, body))
-        fitting = _KIND_REMOTE if shown else _KIND_IN_ZONE
+        is_shown = self.is_shown_to_other_zones(_server(server_id, 0, body))
+        current_kind = _REMOTE_SERVER_KIND if is_shown else _SERVER_KIND
         return [
             kind
-            for kind in (_KIND_IN_ZONE, _KIND_REMOTE)
-            if kind == fitting or self._peers.store.get(kind, server_id) is not None
+            for kind in (_SERVER_KIND, _REMOTE_SERVER_KIND)
+            if kind == current_kind or self._peers.store.get(kind, server_id) is not None
         ]
 
     def _on_server(self, item: SpreadItem) -> None:
         known = self._known.get(item.key)
         if known is not None and known.rank >= item.rank:
             return
-        body = msgspec.convert(cbor2.loads(item.body), type=_Body)
-        self._known[item.key] = _Known(item.rank, body)
+        body = msgspec.convert(cbor2.loads(item.body), type=_ServerBody)
+        self._known[item.key] = _KnownServer(item.rank, body)
         view = self._fleet.view(item.key)
-        if body.state is _State.GONE:
+        if body.state is _ServerState.GONE:
             self._fleet.forget(item.key)
-            self._forget_old()
+            self._prune_gone()
             return
         if view is not None and view.server.address != body.address:
             self._fleet.forget(item.key)
         self._fleet.add(_server(item.key, item.rank[0], body))
-        if body.state is _State.LEAVING:
+        if body.state is _ServerState.LEAVING:
             self._fleet.mark_leaving(item.key, item.rank[0])
         leaving = self._peers.store.get(LEAVING_KIND, item.key)
         if leaving is not None:
             self._on_leaving(leaving)
 
-    def _forget_old(self) -> None:
+    def _prune_gone(self) -> None:
         """Drop the oldest servers that are gone; the newest ones' ranks are still needed."""
         gone = [
-            server_id for server_id, known in self._known.items() if known.body.state is _State.GONE
+            server_id
+            for server_id, known in self._known.items()
+            if known.body.state is _ServerState.GONE
         ]
-        for server_id in gone[:-_GONE_KEPT]:
+        for server_id in gone[:-_MAX_GONE_KEPT]:
             del self._known[server_id]
 
     def _on_leaving(self, item: SpreadItem) -> None:
@@ -267,7 +274,7 @@
         )
 
 
-def _server(server_id: str, incarnation: int, body: _Body) -> BackendServer:
+def _server(server_id: str, incarnation: int, body: _ServerBody) -> BackendServer:
     return BackendServer(
         server_id=server_id,
         kind=body.kind,
--- a/src/verbenawind/membership/store.py
+++ b/src/verbenawind/membership/store.py
@@ -14,7 +14,7 @@
 BUCKETS = 64
 _MAX_ITEMS_PER_KIND = 4096
 _MAX_BODY_BYTES = 1024 * 1024
-_TOMBSTONE_S = 900.0
+_TOMBSTONE_LIFETIME_S = 900.0
 
 
 class ItemClass(IntEnum):
@@ -37,7 +37,7 @@
 }
 
 
-class _Held:
+class _StoredItem:
     __slots__ = ("item", "item_class", "item_hash", "key_hash")
 
     def __init__(self, item: SpreadItem) -> None:
@@ -59,8 +59,8 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._kinds: dict[str, dict[str, _Held]] = {}
-        self._by_hash: dict[tuple[ItemClass, int], dict[int, _Held]] = {}
+        self._kinds: dict[str, dict[str, _StoredItem]] = {}
+        self._by_hash: dict[tuple[ItemClass, int], dict[int, _StoredItem]] = {}
         self._changed_at_s = {item_class: [0.0] * BUCKETS for item_class in ItemClass}
         self._digests = {item_class: [0] * BUCKETS for item_class in ItemClass}
         self._tombstones: dict[tuple[str, str], tuple[tuple[int, ...], float]] = {}
@@ -74,50 +74,55 @@
     def merge(self, item: SpreadItem) -> bool:
         """Keep *item* if it outranks what is held; return whether it does."""
         kind = self._kinds.setdefault(item.kind, {})
-        known = kind.get(item.key)
-        if known is not None and _order(known.item) >= _order(item):
+        previous = kind.get(item.key)
+        if previous is not None and _merge_order(previous.item) >= _merge_order(item):
             return False
-        if self._expired(item) or self._buried(item):
+        if self._is_expired(item) or self._is_tombstoned(item):
             return False
         if len(item.body) > _MAX_BODY_BYTES:
             self._log.warning(
                 "spread_item_refused", kind=item.kind, key=item.key, size_bytes=len(item.body)
             )
             return False
-        if known is None and len(kind) >= _MAX_ITEMS_PER_KIND:
+        if previous is None and len(kind) >= _MAX_ITEMS_PER_KIND:
             self._log.warning("spread_item_refused", kind=item.kind, key=item.key, held=len(kind))
             return False
-        if known is not None:
-            self._remove(known)
-        self._add(_Held(item))
+        if previous is not None:
+            self._remove(previous)
+        self._add(_StoredItem(item))
         return True
 
     def get(self, kind: str, key: str) -> SpreadItem | None:
         """Return the unexpired item of a key."""
-        held = self._kinds.get(kind, {}).get(key)
-        if held is None or self._expired(held.item):
+        stored = self._kinds.get(kind, {}).get(key)
+        if stored is None or self._is_expired(stored.item):
             return None
-        return held.item
+        return stored.item
 
     def items(self, kind: str) -> Sequence[SpreadItem]:
         """Return the unexpired items of a kind."""
         return tuple(
-            held.item for held in self._kinds.get(kind, {}).values() if not self._expired(held.item)
+            stored.item
+            for stored in self._kinds.get(kind, {}).values()
+            if not self._is_expired(stored.item)
         )
 
     def drop(self, kind: str, key: str) -> None:
         """Forget an item, and refuse its rank for a time so that peers can't bring it back."""
-        held = self._kinds.get(kind, {}).get(key)
-        if held is None:
+        stored = self._kinds.get(kind, {}).get(key)
+        if stored is None:
             return
-        self._remove(held)
-        self._tombstones[(kind, key)] = (held.item.rank, self._clock.monotonic_s() + _TOMBSTONE_S)
+        self._remove(stored)
+        self._tombstones[(kind, key)] = (
+            stored.item.rank,
+            self._clock.monotonic_s() + _TOMBSTONE_LIFETIME_S,
+        )
 
     def expire(self) -> None:
         """Forget expired items and old tombstones."""
         for kind in self._kinds.values():
-            for held in [held for held in kind.values() if self._expired(held.item)]:
-                self._remove(held)
+            for stored in [stored for stored in kind.values() if self._is_expired(stored.item)]:
+                self._remove(stored)
         now_s = self._clock.monotonic_s()
         self._tombstones = {
             key: (rank, until_s)
@@ -136,52 +141,52 @@
         """Return the digest of each bucket of a class."""
         return tuple(self._digests[item_class])
 
-    def quiet_s(self, item_class: ItemClass, bucket: int) -> float:
+    def unchanged_s(self, item_class: ItemClass, bucket: int) -> float:
         """Return for how long nothing was added to a bucket, in seconds."""
         return self._clock.monotonic_s() - self._changed_at_s[item_class][bucket]
 
     def hashes(self, item_class: ItemClass, buckets: Iterable[int]) -> Mapping[int, int]:
         """Return the content hash by key hash of what some buckets hold."""
         return {
-            key_hash: held.item_hash
+            key_hash: stored.item_hash
             for bucket in buckets
-            for key_hash, held in self._by_hash.get((item_class, bucket), {}).items()
+            for key_hash, stored in self._by_hash.get((item_class, bucket), {}).items()
         }
 
     def by_hash(self, item_class: ItemClass, key_hash: int) -> SpreadItem | None:
         """Return the item with a key hash."""
-        held = self._by_hash.get((item_class, key_hash % BUCKETS), {}).get(key_hash)
-        return held.item if held else None
+        stored = self._by_hash.get((item_class, key_hash % BUCKETS), {}).get(key_hash)
+        return stored.item if stored else None
 
     def hash_of(self, item: SpreadItem) -> tuple[int, int]:
         """Return the key hash and the content hash of *item*."""
-        held = _Held(item)
-        return held.key_hash, held.item_hash
+        stored = _StoredItem(item)
+        return stored.key_hash, stored.item_hash
 
     def count(self) -> int:
         """Return how many items are held."""
         return sum(len(kind) for kind in self._kinds.values())
 
-    def _add(self, held: _Held) -> None:
-        bucket = held.key_hash % BUCKETS
-        self._kinds[held.item.kind][held.item.key] = held
-        self._by_hash.setdefault((held.item_class, bucket), {})[held.key_hash] = held
-        self._digests[held.item_class][bucket] ^= held.item_hash
-        self._changed_at_s[held.item_class][bucket] = self._clock.monotonic_s()
+    def _add(self, stored: _StoredItem) -> None:
+        bucket = stored.key_hash % BUCKETS
+        self._kinds[stored.item.kind][stored.item.key] = stored
+        self._by_hash.setdefault((stored.item_class, bucket), {})[stored.key_hash] = stored
+        self._digests[stored.item_class][bucket] ^= stored.item_hash
+        self._changed_at_s[stored.item_class][bucket] = self._clock.monotonic_s()
 
-    def _remove(self, held: _Held) -> None:
-        bucket = held.key_hash % BUCKETS
-        del self._kinds[held.item.kind][held.item.key]
-        del self._by_hash[(held.item_class, bucket)][held.key_hash]
-        self._digests[held.item_class][bucket] ^= held.item_hash
+    def _remove(self, stored: _StoredItem) -> None:
+        bucket = stored.key_hash % BUCKETS
+        del self._kinds[stored.item.kind][stored.item.key]
+        del self._by_hash[(stored.item_class, bucket)][stored.key_hash]
+        self._digests[stored.item_class][bucket] ^= stored.item_hash
 
-    def _expired(self, item: SpreadItem) -> bool:
+    def _is_expired(self, item: SpreadItem) -> bool:
         return 0.0 < item.expires_at_s <= self._clock.now().timestamp()
 
-    def _buried(self, item: SpreadItem) -> bool:
+    def _is_tombstoned(self, item: SpreadItem) -> bool:
         tombstone = self._tombstones.get((item.kind, item.key))
         return tombstone is not None and item.rank <= tombstone[0]
 
 
-def _order(item: SpreadItem) -> tuple[tuple[int, ...], float, bytes]:
+def _merge_order(item: SpreadItem) -> tuple[tuple[int, ...], float, bytes]:
     return item.rank, item.expires_at_s, item.body
--- a/src/verbenawind/membership/topology.py
+++ b/src/verbenawind/membership/topology.py
@@ -8,7 +8,7 @@
 
 __all__ = ["bridge_targets", "zone_targets"]
 
-_SUCCESSORS = 2
+_RING_SUCCESSORS = 2
 _BRIDGES_PER_ZONE_PAIR = 2
 
 
@@ -18,11 +18,11 @@
     They are its next ones on a ring in hash order, and one across the ring, which keeps the
     longest way short.
     """
-    ring = sorted({*zone_ids, own_id}, key=lambda name: (_hash(name), name))
+    ring = sorted({*zone_ids, own_id}, key=lambda peer_id: (_hash(peer_id), peer_id))
     position = ring.index(own_id)
-    steps = [*range(1, _SUCCESSORS + 1), len(ring) // 2]
-    targets = [ring[(position + step) % len(ring)] for step in steps]
-    return [name for name in dict.fromkeys(targets) if name != own_id]
+    offsets = [*range(1, _RING_SUCCESSORS + 1), len(ring) // 2]
+    targets = [ring[(position + offset) % len(ring)] for offset in offsets]
+    return [peer_id for peer_id in dict.fromkeys(targets) if peer_id != own_id]
 
 
 def bridge_targets(
@@ -30,14 +30,14 @@
 ) -> Mapping[str, str]:
     """Return the daemon of each other zone that *own_id* dials for its zone, if any."""
     targets: dict[str, str] = {}
-    own = [*members_by_zone.get(own_zone, ()), own_id]
+    own_zone_ids = [*members_by_zone.get(own_zone, ()), own_id]
     for zone, members in members_by_zone.items():
         if zone == own_zone or not members:
             continue
-        bridges = top(zone, own, _BRIDGES_PER_ZONE_PAIR)
+        bridges = top(zone, own_zone_ids, _BRIDGES_PER_ZONE_PAIR)
         if own_id in bridges:
-            far = top(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
-            targets[zone] = far[bridges.index(own_id) % len(far)]
+            remote_bridges = top(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
+            targets[zone] = remote_bridges[bridges.index(own_id) % len(remote_bridges)]
     return targets
 
 
--- a/src/verbenawind/membership/watching.py
+++ b/src/verbenawind/membership/watching.py
@@ -19,12 +19,12 @@
 
 __all__ = ["FleetWatcher"]
 
-_KIND_IN_ZONE = "engine"
-_KIND_REMOTE = "engine-remote"
+_ENGINE_KIND = "engine"
+_REMOTE_ENGINE_KIND = "engine-remote"
 _SUSPECT_KIND = "server-suspect"
 _WATCHERS_PER_ENGINE = 2
-_ENGINES_WATCHED_TWICE = 64
-_MIN_PERIOD_S = 0.25
+_MAX_ENGINES_WATCHED_TWICE = 64
+_MIN_PROBE_PERIOD_S = 0.25
 _PERIOD_PER_ENGINE_S = 0.1
 _PROBE_TIMEOUT_S = 1.0
 _RECONCILE_PERIOD_S = 0.5
@@ -32,12 +32,12 @@
 _SUSPECT_S = 6.0
 _SUSPECT_REFRESH_S = 3.0
 _LOAD_UPDATES_PER_S = 4.0
-_MIN_LOAD_SPACING_S = 0.5
-_RANKS_KEPT = 16_384
+_MIN_LOAD_INTERVAL_S = 0.5
+_MAX_RANKS_KEPT = 16_384
 _SWAP_STATES = (SwapState.IDLE, SwapState.STAGING, SwapState.SWAPPING, SwapState.FAILED)
 
 
-class _Summary(msgspec.Struct, frozen=True, array_like=True):
+class _EngineSummary(msgspec.Struct, frozen=True, array_like=True):
     """An engine's report on the wire."""
 
     running: int
@@ -48,15 +48,15 @@
     models: tuple[tuple[str, int | None, tuple[int, ...], int], ...]
 
 
-class _Watched:
+class _ProbeState:
     """What this daemon spread of one engine."""
 
-    __slots__ = ("failures", "load_at_s", "suspect_at_s")
+    __slots__ = ("failures", "load_published_at_s", "suspicion_published_at_s")
 
     def __init__(self) -> None:
         self.failures = 0
-        self.load_at_s = float("-inf")
-        self.suspect_at_s = float("-inf")
+        self.load_published_at_s = float("-inf")
+        self.suspicion_published_at_s = float("-inf")
 
 
 class FleetWatcher:
@@ -88,13 +88,13 @@
         self._rng = rng
         self._directory = ServerDirectory(fleet, hosts, peers, clock, rng)
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._watched: dict[str, _Watched] = {}
+        self._probe_states: dict[str, _ProbeState] = {}
         self._merged_at_s: dict[str, float] = {}
         self._ranks: dict[str, tuple[int, ...]] = {}
         self._assignment: tuple[object, ...] = ()
         self._log = structlog.get_logger("membership")
         fleet.on_observed(self._on_observed)
-        for kind in (_KIND_IN_ZONE, _KIND_REMOTE):
+        for kind in (_ENGINE_KIND, _REMOTE_ENGINE_KIND):
             peers.on_item(kind, self._on_engine)
             peers.on_item(kind.replace("engine", "server"), self._on_server)
         peers.on_item(_SUSPECT_KIND, self._on_suspect)
@@ -129,7 +129,7 @@
         assigned = set(self._assigned())
         for server_id in self._tasks.keys() - assigned:
             self._tasks.pop(server_id).cancel()
-            self._watched.pop(server_id, None)
+            self._probe_states.pop(server_id, None)
         for server_id in assigned - self._tasks.keys():
             task = asyncio.get_running_loop().create_task(self._watch(server_id))
             self._tasks[server_id] = task
@@ -140,17 +140,17 @@
     def _assigned(self) -> Sequence[str]:
         """Return the engines that this daemon probes; with few daemons each probes more, slower."""
         zones = self._peers.roster.by_zone()
-        everybody = [peer.peer_id for peer in self._peers.peers()]
+        all_peer_ids = [peer.peer_id for peer in self._peers.peers()]
         own_id, own_zone = self._peers.peer_id, self._fleet.location.zone
         engines = self._engines()
-        near = sum(view.server.location.zone == own_zone for view in engines)
-        count = _WATCHERS_PER_ENGINE if near <= _ENGINES_WATCHED_TWICE else 1
+        own_zone_engines = sum(view.server.location.zone == own_zone for view in engines)
+        count = _WATCHERS_PER_ENGINE if own_zone_engines <= _MAX_ENGINES_WATCHED_TWICE else 1
         assigned: list[str] = []
         for view in engines:
             zone, server_id = view.server.location.zone, view.server.server_id
-            if not self._directory.cares_for(zone):
+            if not self._directory.is_responsible_for(zone):
                 continue
-            others = zones.get(zone, ()) if zone == own_zone else everybody
+            others = zones.get(zone, ()) if zone == own_zone else all_peer_ids
             watchers = top(server_id, [*others, own_id], count)
             if own_id in watchers:
                 assigned.append(server_id)
@@ -159,7 +159,7 @@
     async def _watch(self, server_id: str) -> None:
         while True:
             await self._probe(server_id)
-            period_s = max(_MIN_PERIOD_S, _PERIOD_PER_ENGINE_S * len(self._tasks))
+            period_s = max(_MIN_PROBE_PERIOD_S, _PERIOD_PER_ENGINE_S * len(self._tasks))
             await self._clock.sleep(period_s * self._rng.uniform(0.9, 1.1))
 
     async def _probe(self, server_id: str) -> None:
@@ -171,30 +171,34 @@
             async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 status = await self._clients.engine(view.server).status()
         except (VerbenawindError, TimeoutError) as error:
-            self._failed(view, repr(error))
+            self._probe_failed(view, repr(error))
             return
-        watched = self._watched.setdefault(server_id, _Watched())
-        recovered, watched.failures = watched.failures >= _FAILURES_TO_SUSPECT, 0
+        probe_state = self._probe_states.setdefault(server_id, _ProbeState())
+        recovered, probe_state.failures = probe_state.failures >= _FAILURES_TO_SUSPECT, 0
         if self._merged_at_s.get(server_id, float("-inf")) > asked_at_s and not status.leaving:
             return  # A peer observed the engine after this probe was sent.
         self._fleet.observe(status)
         if recovered:
             self._publish(status)
 
-    def _failed(self, view: ServerView, reason: str) -> None:
+    def _probe_failed(self, view: ServerView, reason: str) -> None:
         server = view.server
-        watched = self._watched.setdefault(server.server_id, _Watched())
-        watched.failures += 1
-        if watched.failures < _FAILURES_TO_SUSPECT:
+        probe_state = self._probe_states.setdefault(server.server_id, _ProbeState())
+        probe_state.failures += 1
+        if probe_state.failures < _FAILURES_TO_SUSPECT:
             return
         self._fleet.suspect(server.server_id, _SUSPECT_S)
         now_s = self._clock.monotonic_s()
-        if now_s - watched.suspect_at_s < _SUSPECT_REFRESH_S:
+        if now_s - probe_state.suspicion_published_at_s < _SUSPECT_REFRESH_S:
             return
-        watched.suspect_at_s = now_s
+        probe_state.suspicion_published_at_s = now_s
         self._log.info("server_suspected", server=server.server_id, reason=reason)
-        known = self._peers.store.get(_SUSPECT_KIND, server.server_id)
-        number = known.rank[1] + 1 if known and known.rank[0] == server.incarnation else 0
+        known_status = self._peers.store.get(_SUSPECT_KIND, server.server_id)
+        number = (
+            known_status.rank[1] + 1
+            if known_status and known_status.rank[0] == server.incarnation
+            else 0
+        )
         self._peers.spread(
             SpreadItem(
                 kind=_SUSPECT_KIND,
@@ -207,41 +211,43 @@
 
     def _on_observed(self, status: EngineStatus) -> None:
         """Spread what this daemon observed if it differs from what the peers know."""
-        known = self._known(status.server_id)
-        if known is None or _strong(known) != _strong(status):
+        known_status = self._known_status(status.server_id)
+        if known_status is None or _urgent_fields(known_status) != _urgent_fields(status):
             self._publish(status)
             return
-        watched = self._watched.get(status.server_id)
-        if watched is None or _load_level(known) == _load_level(status):
+        probe_state = self._probe_states.get(status.server_id)
+        if probe_state is None or _load_level(known_status) == _load_level(status):
             return
-        if self._clock.monotonic_s() - watched.load_at_s >= self._load_spacing_s():
-            watched.load_at_s = self._clock.monotonic_s()
+        if self._clock.monotonic_s() - probe_state.load_published_at_s >= self._load_interval_s():
+            probe_state.load_published_at_s = self._clock.monotonic_s()
             self._publish(status)
 
-    def _load_spacing_s(self) -> float:
+    def _load_interval_s(self) -> float:
         """Return the spacing that keeps the load updates of one zone within their rate."""
         zone = self._fleet.location.zone
         engines = sum(view.server.location.zone == zone for view in self._engines())
-        return max(_MIN_LOAD_SPACING_S, engines / _LOAD_UPDATES_PER_S)
+        return max(_MIN_LOAD_INTERVAL_S, engines / _LOAD_UPDATES_PER_S)
 
     def _publish(self, status: EngineStatus) -> None:
         view = self._fleet.view(status.server_id)
         if view is None:
             return
-        before = self._ranks.get(status.server_id, (0, -1))
-        number = before[1] + 1 if before[0] == status.incarnation else 0
-        shown = self._directory.shown_to_other_zones(view.server)
+        previous_rank = self._ranks.get(status.server_id, (0, -1))
+        number = previous_rank[1] + 1 if previous_rank[0] == status.incarnation else 0
+        is_shown = self._directory.is_shown_to_other_zones(view.server)
         self._peers.spread(
             SpreadItem(
-                kind=_KIND_REMOTE if shown else _KIND_IN_ZONE,
+                kind=_REMOTE_ENGINE_KIND if is_shown else _ENGINE_KIND,
                 key=status.server_id,
                 rank=(status.incarnation, number),
                 body=cbor2.dumps(msgspec.to_builtins(_summary(status))),
             )
         )
 
-    def _known(self, server_id: str) -> EngineStatus | None:
-        items = [self._peers.store.get(kind, server_id) for kind in (_KIND_IN_ZONE, _KIND_REMOTE)]
+    def _known_status(self, server_id: str) -> EngineStatus | None:
+        items = [
+            self._peers.store.get(kind, server_id) for kind in (_ENGINE_KIND, _REMOTE_ENGINE_KIND)
+        ]
         found = [item for item in items if item is not None]
         return _status(max(found, key=lambda item: item.rank)) if found else None
 
@@ -258,18 +264,18 @@
         if view is None:
             self._forget(item.key)
             return
-        status = self._known(item.key)
+        status = self._known_status(item.key)
         if view.status is None and status is not None:
             self._fleet.learn(status)
 
     def _forget(self, server_id: str) -> None:
         """Drop the report of a server that is gone; its rank is kept in case it returns."""
-        for kind in (_KIND_IN_ZONE, _KIND_REMOTE):
+        for kind in (_ENGINE_KIND, _REMOTE_ENGINE_KIND):
             self._peers.store.drop(kind, server_id)
         self._merged_at_s.pop(server_id, None)
-        if len(self._ranks) > _RANKS_KEPT:
-            known = {view.server.server_id for view in self._engines()}
-            self._ranks = {key: rank for key, rank in self._ranks.items() if key in known}
+        if len(self._ranks) > _MAX_RANKS_KEPT:
+            known_status = {view.server.server_id for view in self._engines()}
+            self._ranks = {key: rank for key, rank in self._ranks.items() if key in known_status}
 
     def _on_suspect(self, item: SpreadItem) -> None:
         view = self._fleet.view(item.key)
@@ -277,7 +283,7 @@
             self._fleet.suspect(item.key, _SUSPECT_S)
 
 
-def _strong(status: EngineStatus) -> tuple[object, ...]:
+def _urgent_fields(status: EngineStatus) -> tuple[object, ...]:
     """Return what peers must know at once when it changes."""
     return (
         status.incarnation,
@@ -292,8 +298,8 @@
     return 4 * status.running // max(1, status.max_running), status.waiting.bit_length()
 
 
-def _summary(status: EngineStatus) -> _Summary:
-    return _Summary(
+def _summary(status: EngineStatus) -> _EngineSummary:
+    return _EngineSummary(
         running=status.running,
         waiting=status.waiting,
         max_running=status.max_running,
@@ -312,7 +318,7 @@
 
 
 def _status(item: SpreadItem) -> EngineStatus:
-    summary = msgspec.convert(cbor2.loads(item.body), type=_Summary)
+    summary = msgspec.convert(cbor2.loads(item.body), type=_EngineSummary)
     return EngineStatus(
         server_id=item.key,
         incarnation=item.rank[0],
--- a/src/verbenawind/membership/wire.py
+++ b/src/verbenawind/membership/wire.py
@@ -197,9 +197,9 @@
     | Bye
 )
 
-_COMPRESSED_FROM_BYTES = 128
+_MIN_COMPRESSED_BYTES = 128
 _COMPRESSION_LEVEL = 6
-_ZLIB_MARK = b"\x78"  # No CBOR array of messages begins with this byte.
+_ZLIB_HEADER = b"\x78"  # No CBOR array of messages begins with this byte.
 _MAX_FRAME_BYTES = 16 * 1024 * 1024
 _MESSAGES = tuple[Message, ...]
 
@@ -208,7 +208,7 @@
     """Return one frame that holds *messages* in order."""
     built = [msgspec.to_builtins(message, builtin_types=(bytes,)) for message in messages]
     frame = cbor2.dumps(built)
-    if len(frame) < _COMPRESSED_FROM_BYTES:
+    if len(frame) < _MIN_COMPRESSED_BYTES:
         return frame
     return zlib.compress(frame, _COMPRESSION_LEVEL)
 
@@ -216,7 +216,7 @@
 def decode(data: bytes) -> Sequence[Message]:
     """Return the messages of a frame; raises PeerUnreachable when it is malformed."""
     try:
-        frame = _decompress(data) if data[:1] == _ZLIB_MARK else data
+        frame = _decompress(data) if data[:1] == _ZLIB_HEADER else data
         return msgspec.convert(cbor2.loads(frame), type=_MESSAGES)
     except (cbor2.CBORError, msgspec.ValidationError, zlib.error) as error:
         raise PeerUnreachable(f"malformed frame of {len(data)} bytes: {error}") from error
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -21,8 +21,8 @@
 _BUSY_PERIOD_S = 0.5
 _IDLE_PERIOD_S = 4.0
 _WRITE_TIMEOUT_S = 1.5
-# A busy daemon is presumed gone after this long without a heartbeat. The limit is shorter before its
-# first heartbeat as an owner, which is written immediately.
+# A busy daemon is presumed gone after this long without a heartbeat. The limit is shorter before
+# its first heartbeat as an owner, which is written immediately.
 _BUSY_TIMEOUT_S = 1.8
 _FIRST_BEAT_TIMEOUT_S = 1.0
 # Timeout of a busy daemon whose host does not answer its peers either.
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -223,7 +223,7 @@
         self._log.info(
             "lease_acquired",
             epoch=held.epoch,
-            previous=observed.owner if observed else "",
+            former=observed.owner if observed else "",
             acts_in_s=round(self._act_from_s - self._clock.monotonic_s(), 2),
         )
 
