--- a/src/verbenawind/membership/__init__.py
+++ b/src/verbenawind/membership/__init__.py
@@ -1,4 +1,4 @@
-"""What daemons know of each other and of the backend servers."""
+"""Cluster membership, gossip between daemons, and discovery of backend servers."""
 
 from verbenawind.membership.bus import GossipBus
 from verbenawind.membership.dialling import Seed
--- a/src/verbenawind/membership/bus.py
+++ b/src/verbenawind/membership/bus.py
@@ -1,4 +1,4 @@
-"""The peer bus: links, membership, spread items and calls of one daemon."""
+"""The peer bus of one daemon: gossip links, membership, spread items and calls."""
 
 import asyncio
 import contextlib
@@ -54,12 +54,12 @@
     Args:
         peer_id: This daemon's identifier.
         location: Where this daemon runs.
-        listen: Address to serve links at.
-        key: The key that all daemons share.
-        seeds: Addresses of daemons to ask first.
-        transport: Makes links.
+        listen: Address to accept links at.
+        key: The key shared by all daemons.
+        seeds: Addresses of daemons to dial first.
+        transport: Opens and accepts channels to peers.
         clock: Time source.
-        rng: Jitter and choices.
+        rng: Random source for jitter and sampling.
     """
 
     def __init__(
@@ -121,15 +121,15 @@
         return self.roster.present()
 
     def member(self, peer_id: str) -> Member | None:
-        """Return what is known of another daemon, also when it ended lately."""
+        """Return the membership record of another daemon, including one that ended recently."""
         return self.roster.members().get(peer_id)
 
     def add_seeds(self, seeds: Sequence[Seed]) -> None:
-        """Take in the daemons of the platform's host list."""
+        """Replace the seeds that come from the platform's host list."""
         self.dialler.add_seeds(seeds)
 
     def spread(self, item: SpreadItem) -> None:
-        """Merge an item here and send it on to the other daemons."""
+        """Merge an item locally and forward it to the other daemons."""
         self._gossip.spread(item)
 
     def items(self, kind: str) -> Sequence[SpreadItem]:
@@ -137,7 +137,7 @@
         return self.store.items(kind)
 
     def on_item(self, kind: str, listener: Callable[[SpreadItem], None]) -> None:
-        """Call *listener* with each item of *kind* that is new here."""
+        """Call *listener* with each item of *kind* that is new to this daemon."""
         self._listeners.setdefault(kind, []).append(listener)
 
     def on_call(self, kind: str, handler: Callable[[bytes], Awaitable[bytes]]) -> None:
@@ -145,18 +145,22 @@
         self._calls.on_call(kind, handler)
 
     async def call(self, peer_id: str, kind: str, body: bytes, timeout_s: float) -> bytes:
-        """Call a peer and return its reply; raises PeerUnreachable."""
+        """Call a peer and return its reply.
+
+        Raises:
+            PeerUnreachable: The call failed or got no reply within *timeout_s*.
+        """
         return await self._calls.call(peer_id, kind, body, timeout_s)
 
     async def start(self) -> None:
-        """Serve links, join and begin to look for peers."""
+        """Accept links, join the cluster and start dialling peers."""
         address = await self._transport.listen(self._listen, self._accept)
         self.roster.join(address)
         for coroutine in (self._send_heartbeats(), self._run_periodic_checks(), self.dialler.run()):
             self._start_task(coroutine)
 
     async def stop(self) -> None:
-        """Tell the peers that this daemon leaves, then close every link."""
+        """Announce that this daemon leaves, then close every link."""
         self._stopping = True
         self.roster.leave()
         for link in self.links():
@@ -166,7 +170,7 @@
         await self._close()
 
     async def kill(self) -> None:
-        """Close every link without a word, as a crash would."""
+        """Close every link without an announcement, as a crash would."""
         self._stopping = True
         await self._close()
 
@@ -193,7 +197,7 @@
             try:
                 listener(item)
             except (ValueError, LookupError, cbor2.CBORError) as error:
-                # A peer of another release may write bodies that this one cannot read.
+                # A peer of another release may send bodies that this one cannot decode.
                 self._log.error(
                     "spread_item_unreadable", kind=item.kind, key=item.key, reason=repr(error)
                 )
@@ -301,7 +305,7 @@
                 self.dialler.verify(link.peer.address)
 
     async def _register(self, link: Link) -> bool:
-        """Keep one link to each peer; both ends choose the one that the lower id dialled."""
+        """Keep one link to each peer; both ends keep the one dialled by the lower id."""
         old = self._links.get(link.peer.peer_id)
         if old is not None and not old.closed:
             same_incarnation = old.peer.incarnation == link.peer.incarnation
@@ -328,7 +332,7 @@
 
     @singledispatchmethod
     async def _handle_message(self, message: Message, link: Link) -> None:
-        """Handle one message of a gossip link; other kinds are ignored."""
+        """Handle one message of a gossip link; unregistered types are ignored."""
 
     @_handle_message.register
     async def _(self, message: Heartbeat, link: Link) -> None:
--- a/src/verbenawind/membership/calls.py
+++ b/src/verbenawind/membership/calls.py
@@ -1,4 +1,4 @@
-"""Calls between daemons, on links of their own that are opened when needed."""
+"""Calls between daemons, over dedicated links that are opened on demand."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 class Calls:
-    """Sends calls to peers and answers theirs.
+    """Sends calls to peers and serves theirs.
 
     Args:
         clock: Time source.
@@ -53,7 +53,11 @@
         self._handlers[kind] = handler
 
     async def call(self, peer_id: str, kind: str, body: bytes, timeout_s: float) -> bytes:
-        """Call a peer and return its reply; raises PeerUnreachable."""
+        """Call a peer and return its reply.
+
+        Raises:
+            PeerUnreachable: The call failed or got no reply within *timeout_s*.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 link = await self._link(peer_id)
@@ -64,14 +68,14 @@
             ) from error
 
     async def on_message(self, link: Link, message: Message) -> None:
-        """Take in a call or a reply."""
+        """Handle a call or a reply; other messages are ignored."""
         if isinstance(message, Call):
             self._start_handler(link, message)
         elif isinstance(message, Reply):
             self._handle_reply(message)
 
     def link_closed(self, link: Link) -> None:
-        """Fail what waits for answers on a closed link."""
+        """Fail the calls that await replies on a closed link."""
         for number, (used, future) in list(self._pending.items()):
             if used is link:
                 del self._pending[number]
@@ -83,7 +87,7 @@
             del self._links[link.peer.peer_id]
 
     async def close_idle(self) -> None:
-        """Close links that no call used lately."""
+        """Close links that no call has used within the idle time-out."""
         now_s = self._clock.monotonic_s()
         for peer_id, link in list(self._links.items()):
             if now_s - self._last_used_at_s.get(peer_id, 0.0) >= _IDLE_TIMEOUT_S:
--- a/src/verbenawind/membership/detector.py
+++ b/src/verbenawind/membership/detector.py
@@ -1,4 +1,4 @@
-"""Notices peers that give no sign of life, asking others before it suspects anybody."""
+"""Failure detection with direct and indirect probes, similar to SWIM."""
 
 from collections.abc import Callable, Collection
 from random import Random
@@ -18,17 +18,17 @@
 
 
 class FailureDetector:
-    """Probes silent peers directly and through helpers, and suspects those that nobody hears.
+    """Probes silent peers directly and through other peers, and suspects those that do not respond.
 
-    Only daemons of the same zone suspect each other: silence from another zone may be a
-    partition, and just closes the link.
+    Only daemons of the same zone suspect each other. Silence from another zone may be a network
+    partition, so it only closes the link.
 
     Args:
-        roster: Who is a member.
+        roster: The membership list.
         clock: Time source.
-        rng: Chooses helpers.
+        rng: Random source for choosing the peers that probe indirectly.
         zone: This daemon's zone.
-        links: Gives the open gossip links.
+        links: Returns the open gossip links.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         self._last_tick_at_s = clock.monotonic_s()
 
     def tick(self) -> None:
-        """Judge every link; call it a few times a second."""
+        """Check every link; must be called a few times per second."""
         now_s = self._clock.monotonic_s()
         if now_s - self._last_tick_at_s > _PAUSE_THRESHOLD_S:
             self._reset_after_pause(now_s)
@@ -74,10 +74,10 @@
                 del self._lost_links[peer_id]
             elif now_s - since_s >= _PROBE_TIMEOUT_S:
                 del self._lost_links[peer_id]
-                self._roster.suspect(peer_id, "its link closed and nobody hears it")
+                self._roster.suspect(peer_id, "its link closed and no other peer reached it")
 
     def link_closed(self, link: Link) -> None:
-        """Ask helpers whether the peer of a closed link lives."""
+        """Probe the peer of a closed link through other peers."""
         member = self._roster.members().get(link.peer.peer_id)
         if link.peer.zone != self._zone or member is None or not member.present:
             return
@@ -87,7 +87,7 @@
         self._request_indirect_probes(link)
 
     def on_ping_request(self, link: Link, message: PingRequest) -> None:
-        """Vouch for a peer that was heard lately, or ask it first."""
+        """Confirm that a peer is alive, pinging it first if it has been silent for a while."""
         subject = next(
             (other for other in self._links() if other.peer.peer_id == message.peer_id), None
         )
@@ -101,7 +101,7 @@
         subject.post(Ping(number=number))
 
     def on_pong(self, link: Link, message: Pong) -> None:
-        """Take in a sign of life, for this daemon or for one that asked it to help."""
+        """Handle a pong to this daemon's own ping or to one sent for another daemon."""
         if message.peer_id:
             self._mark_alive(message.peer_id)
             return
@@ -122,7 +122,7 @@
             self._request_indirect_probes(link)
         elif now_s - link.probed_at_s >= _PROBE_TIMEOUT_S:
             link.closed = True
-            self._roster.suspect(link.peer.peer_id, f"silent for {silent_s:.1f} s")
+            self._roster.suspect(link.peer.peer_id, f"nothing received for {silent_s:.1f} s")
 
     def _request_indirect_probes(self, link: Link) -> None:
         subject = link.peer.peer_id
--- a/src/verbenawind/membership/dialling.py
+++ b/src/verbenawind/membership/dialling.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon linked: to its neighbours, and to whoever seeds and the host list name."""
+"""Dials the peers that the topology requires, and seeds to discover the cluster."""
 
 import asyncio
 import contextlib
@@ -26,22 +26,22 @@
 
 
 class Seed(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon that may exist; the zone is empty when it is not known."""
+    """The address of a daemon that may exist; the zone is empty if unknown."""
 
     address: str
     zone: str = ""
 
 
 class Dialler:
-    """Opens the links that the topology asks for and closes those that it no longer does.
+    """Opens the links that the topology requires and closes those that it no longer does.
 
     Args:
-        roster: Who is a member.
+        roster: The membership list.
         clock: Time source.
-        rng: Jitter and choices.
+        rng: Random source for jitter and sampling.
         zone: This daemon's zone.
         seeds: Addresses from the settings.
-        links: Gives the open gossip links.
+        links: Returns the open gossip links.
         dial: Opens a gossip link to an address.
     """
 
@@ -88,19 +88,19 @@
         self._log = structlog.get_logger("membership")
 
     def add_seeds(self, seeds: Sequence[Seed]) -> None:
-        """Replace the daemons that the platform's host list names."""
+        """Replace the seeds that come from the platform's host list."""
         self._listed_seeds = list(seeds)[:_MAX_SEEDS]
 
     def seeds(self) -> Sequence[Seed]:
-        """Return every daemon that may exist, from the settings and the host list."""
+        """Return the seeds from the settings and from the host list."""
         return [*self._seeds, *self._listed_seeds]
 
     def wake(self) -> None:
-        """Look at the topology again soon."""
+        """Re-evaluate the topology soon."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Keep the daemon linked until cancelled."""
+        """Maintain the links until cancelled."""
         try:
             while True:
                 self._update_links()
@@ -138,7 +138,10 @@
         return {name: members[name].peer.address for name in peer_ids}
 
     def _dial_seeds(self) -> None:
-        """Dial seeds while alone, and now and then one that no member is at."""
+        """Dial seeds while isolated, and occasionally one whose address no member has.
+
+        The latter rejoins parts of the cluster that do not know each other.
+        """
         now_s = self._clock.monotonic_s()
         isolated = not self._links()
         if not isolated and now_s < self._next_seed_dial_at_s:
@@ -161,7 +164,7 @@
                 self._dial_if_allowed(peer.address)
 
     def verify(self, address: str) -> None:
-        """Dial the address of a peer whose link broke after it had worked for a while."""
+        """Redial a peer at once after a link that had been stable broke."""
         self._backoff_s.pop(address, None)
         self._next_attempt_at_s.pop(address, None)
         self._dial_if_allowed(address)
@@ -184,7 +187,7 @@
         self._record_attempt(address)
 
     def _record_attempt(self, address: str) -> None:
-        """Space dials out, also after a success: a link that breaks early counts as a failure."""
+        """Back off after every dial, even a successful one: the link may break early."""
         if len(self._backoff_s) > 4 * _MAX_SEEDS:
             self._backoff_s.clear()
             self._next_attempt_at_s.clear()
--- a/src/verbenawind/membership/gossip.py
+++ b/src/verbenawind/membership/gossip.py
@@ -1,4 +1,7 @@
-"""Spreads items over links: floods urgent ones, sends bulk along a tree, repairs by digests."""
+"""Gossip of items: urgent ones are flooded, bulk ones follow a tree, digests repair losses.
+
+Bulk items use eager push on the links of a tree that is formed by pruning, as in Plumtree.
+"""
 
 from collections.abc import Callable, Collection
 
@@ -27,14 +30,14 @@
 
 
 class Gossip:
-    """Keeps the stores of linked daemons equal.
+    """Keeps the spread stores of linked daemons in sync.
 
     Args:
         store: This daemon's items.
         clock: Time source.
         zone: This daemon's zone.
-        links: Gives the open gossip links.
-        merged: Called with each item that is new here.
+        links: Returns the open gossip links.
+        on_merged: Called with each item that is new to this daemon.
     """
 
     __slots__ = ("_clock", "_links", "_on_merged", "_store", "_urgent_changed_at_s", "_zone")
@@ -55,7 +58,7 @@
         self._urgent_changed_at_s = 0.0
 
     def spread(self, item: SpreadItem, origin: Link | None = None) -> bool:
-        """Merge an item and send it on, except to *origin*; return whether it was new."""
+        """Merge an item and forward it, except to *origin*; return whether it was new."""
         if not self._store.merge(item):
             return False
         item_class = self._store.class_of(item.kind)
@@ -68,7 +71,7 @@
         return True
 
     def heartbeat(self, link: Link) -> None:
-        """Send a sign of life, with the digests of one bucket more each time."""
+        """Send a heartbeat with the digests of the next group of buckets."""
         turn, bucket_group = divmod(link.heartbeat_count, BUCKETS // _BUCKETS_PER_HEARTBEAT)
         link.heartbeat_count += 1
         in_zone = link.peer.zone == self._zone
@@ -88,7 +91,7 @@
         )
 
     def _settled_digest(self, item_class: ItemClass, bucket: int) -> int | None:
-        """Return a bucket's short digest, None when it changed lately."""
+        """Return a bucket's short digest, or None if the bucket changed recently."""
         if self._store.unchanged_s(item_class, bucket) < _BUCKET_SETTLING_S:
             return None
         return self._store.bucket_digests(item_class)[bucket] & _SHORT_DIGEST_MASK
@@ -97,7 +100,7 @@
         return self._clock.monotonic_s() - self._urgent_changed_at_s >= _URGENT_SETTLING_S
 
     def on_heartbeat(self, link: Link, message: Heartbeat) -> None:
-        """Compare digests, and start a repair where they differ."""
+        """Compare digests and start a repair where they differ."""
         now_s = self._clock.monotonic_s()
         if now_s - link.synced_at_s < _MIN_SYNC_INTERVAL_S:
             return
@@ -117,14 +120,14 @@
             self._send_summary(link, bulk, tuple(differing))
 
     def start_sync(self, link: Link) -> None:
-        """Compare everything with a peer whose link has just opened."""
+        """Compare all digests with a peer whose link has just opened."""
         for item_class in ItemClass:
             if self._is_sent_on(item_class, link):
                 digests = tuple(self._store.bucket_digests(item_class))
                 link.post(BucketDigests(item_class=int(item_class), digests=digests))
 
     def on_bucket_digests(self, link: Link, message: BucketDigests) -> None:
-        """Answer with the contents of the buckets that differ."""
+        """Reply with summaries of the buckets that differ."""
         item_class = ItemClass(message.item_class)
         own = self._store.bucket_digests(item_class)
         differing = [bucket for bucket in range(BUCKETS) if own[bucket] != message.digests[bucket]]
@@ -132,7 +135,7 @@
             self._send_summary(link, item_class, tuple(differing))
 
     def on_summary(self, link: Link, message: Summary) -> None:
-        """Push what the peer lacks and ask for what is missing here."""
+        """Push the items that the peer lacks and request those missing here."""
         item_class = ItemClass(message.item_class)
         own = self._store.hashes(item_class, message.buckets or range(BUCKETS))
         theirs = dict(message.entries)
@@ -149,7 +152,7 @@
                 link.post_item(item)
 
     def on_want(self, link: Link, message: Want) -> None:
-        """Send the items that the peer asked for; bulk flows on this link again."""
+        """Send the requested items; a bulk request makes the link eager again."""
         item_class = ItemClass(message.item_class)
         if item_class is not ItemClass.URGENT:
             link.eager = True
@@ -159,7 +162,7 @@
                 link.post_item(item)
 
     def on_items(self, link: Link, message: Items) -> None:
-        """Merge items; a bulk item that is known already prunes the link from the tree."""
+        """Merge items; repeated duplicates of bulk items prune the link from the tree."""
         for entry in message.entries:
             item = entry.item()
             new = self.spread(item, link)
@@ -175,13 +178,13 @@
             link.post(Prune())
 
     def on_prune(self, link: Link) -> None:
-        """Stop pushing bulk items on a link."""
+        """Stop pushing bulk items on a link, unless it is the only eager one."""
         if self._has_other_eager_link(link):
             link.eager = False
 
     def _has_other_eager_link(self, link: Link) -> bool:
         if link.peer.zone != self._zone:
-            return False  # Links between zones are few, and each may be the only one that works.
+            return False  # Links between zones are few, so any of them may be the only working one.
         return any(
             other.eager and other.peer.zone == self._zone
             for other in self._links()
--- a/src/verbenawind/membership/handshake.py
+++ b/src/verbenawind/membership/handshake.py
@@ -1,4 +1,4 @@
-"""How two daemons prove the shared key to each other before anything else passes."""
+"""Mutual authentication of two daemons by the shared key, before any other message."""
 
 import asyncio
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon says of itself when a link opens."""
+    """What a daemon tells about itself when a link opens."""
 
     peer_id: str
     address: str
@@ -34,11 +34,11 @@
 
 
 async def open_link(channel: PeerChannel, key: bytes, own: Identity) -> Identity:
-    """Prove the key to the daemon that was dialled and return who it is.
+    """Authenticate with the dialled daemon and return its identity.
 
     Raises:
-        PeerUnauthenticated: The other end could not prove the key.
-        PeerUnreachable: The link closed or the other end did not answer in time.
+        PeerUnauthenticated: The dialled daemon did not prove possession of the key.
+        PeerUnreachable: The link closed or the dialled daemon did not respond in time.
     """
     hello = _hello(own)
     await channel.send(encode([hello]))
@@ -47,19 +47,20 @@
     await channel.send(encode([Proof(mac=_mac(key, _DIALLER, nonces, encode([hello])))]))
     proof = await _receive(channel, Proof)
     if not hmac.compare_digest(proof.mac, _mac(key, _ACCEPTOR, nonces, proof.hello)):
-        raise PeerUnauthenticated("the dialled peer could not prove the shared key")
+        raise PeerUnauthenticated("the dialled peer did not prove possession of the shared key")
     remote_hello = decode(proof.hello)[0]
     if not isinstance(remote_hello, Hello):
-        raise PeerUnauthenticated("the dialled peer did not say who it is")
+        raise PeerUnauthenticated("the dialled peer sent no Hello in its proof")
     return _identity(remote_hello)
 
 
 async def accept_link(channel: PeerChannel, key: bytes, own: Identity) -> Identity:
-    """Make the dialler prove the key, prove it back and return who the dialler is.
+    """Authenticate a dialler, then prove the key to it, and return its identity.
 
     Raises:
-        PeerUnauthenticated: The dialler could not prove the key; it learns nothing.
-        PeerUnreachable: The link closed or the dialler did not answer in time.
+        PeerUnauthenticated: The dialler did not prove possession of the key; it is told nothing
+            about this daemon.
+        PeerUnreachable: The link closed or the dialler did not respond in time.
     """
     hello = await _receive(channel, Hello)
     challenge = Challenge(nonce=secrets.token_bytes(_NONCE_BYTES))
@@ -67,7 +68,9 @@
     nonces = hello.nonce + challenge.nonce
     proof = await _receive(channel, Proof)
     if not hmac.compare_digest(proof.mac, _mac(key, _DIALLER, nonces, encode([hello]))):
-        raise PeerUnauthenticated(f"dialler {hello.peer_id!r} could not prove the shared key")
+        raise PeerUnauthenticated(
+            f"dialler {hello.peer_id!r} did not prove possession of the shared key"
+        )
     body = encode([_hello(own)])
     await channel.send(encode([Proof(mac=_mac(key, _ACCEPTOR, nonces, body), hello=body)]))
     return _identity(hello)
@@ -78,10 +81,12 @@
         async with asyncio.timeout(_RECEIVE_TIMEOUT_S):
             data = await channel.receive()
     except TimeoutError as error:
-        raise PeerUnreachable(f"no {kind.__name__} within {_RECEIVE_TIMEOUT_S} s") from error
+        raise PeerUnreachable(
+            f"no {kind.__name__} message within {_RECEIVE_TIMEOUT_S} s"
+        ) from error
     messages = decode(data)
     if len(messages) != 1 or not isinstance(messages[0], kind):
-        raise PeerUnauthenticated(f"the peer sent no {kind.__name__}")
+        raise PeerUnauthenticated(f"the peer sent something other than one {kind.__name__}")
     return messages[0]
 
 
--- a/src/verbenawind/membership/link.py
+++ b/src/verbenawind/membership/link.py
@@ -1,4 +1,4 @@
-"""One authenticated link to a peer, with a bounded queue that keeps the newest of each item."""
+"""An authenticated link to a peer, with a bounded queue that keeps only the newest of each item."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class Traffic:
-    """Counts what a daemon sends to and receives from its peers."""
+    """Counters of a daemon's traffic with its peers."""
 
     __slots__ = ("received_bytes", "received_frames", "sent_bytes", "sent_frames")
 
@@ -31,14 +31,14 @@
 
 
 class Link:
-    """A link to *peer*; several messages share a frame.
+    """A link to *peer*; queued messages are batched into frames.
 
     Args:
-        channel: The transport's link, after the handshake.
-        peer: Who is at the other end.
-        dialled: Whether this daemon opened it.
+        channel: The transport's channel, after the handshake.
+        peer: Identity of the remote daemon.
+        dialled: Whether this daemon opened the link.
         clock: Time source.
-        traffic: The daemon's counters.
+        traffic: The daemon's traffic counters.
     """
 
     __slots__ = (
@@ -89,7 +89,7 @@
         self.unneeded_since_s: float | None = None
 
     def post(self, message: Message) -> None:
-        """Queue a message; only the newest heartbeat waits, and a full queue closes the link."""
+        """Queue a message; a heartbeat replaces a queued one, and a full queue closes the link."""
         if isinstance(message, Heartbeat):
             self._messages = [old for old in self._messages if not isinstance(old, Heartbeat)]
         if len(self._messages) >= _MAX_QUEUED_MESSAGES:
@@ -99,9 +99,9 @@
         self._pending.set()
 
     def post_item(self, item: SpreadItem, *, bulk: bool = False) -> None:
-        """Queue an item; it replaces an older one of its key that still waits.
+        """Queue an item; it replaces a queued item of the same key.
 
-        Bulk items wait for company while the link has been busy.
+        Bulk items are delayed to be batched if a frame was sent recently.
         """
         self._items[(item.kind, item.key)] = item
         if not bulk:
@@ -109,7 +109,7 @@
         self._pending.set()
 
     async def run(self, handle: Callable[["Link", Message], Awaitable[None]]) -> None:
-        """Pass messages both ways until the link closes."""
+        """Send and receive messages until the link closes."""
         writer = asyncio.get_running_loop().create_task(self._write())
         try:
             while not self.closed:
@@ -129,7 +129,7 @@
             await self.aclose()
 
     async def flush(self) -> None:
-        """Send at once what is queued."""
+        """Send everything queued immediately."""
         messages = self._messages
         if self._items:
             entries = tuple(Entry.of(item) for item in self._items.values())
@@ -145,7 +145,7 @@
         await self._channel.send(data)
 
     async def close_gracefully(self) -> None:
-        """Close the link on purpose, so that the peer does not take it for a crash."""
+        """Close the link with a Bye, so that the peer does not presume a crash."""
         self.closing_gracefully = True
         self._messages.append(Bye())
         with contextlib.suppress(PeerUnreachable):
@@ -159,7 +159,7 @@
             await self._channel.aclose()
 
     async def _wait_for_batch(self) -> None:
-        """Wait for more bulk items if a frame went out lately, unless something else is due."""
+        """Wait for more bulk items if a frame was sent recently and nothing else is queued."""
         wait_s = self._sent_at_s + _BULK_INTERVAL_S - self._clock.monotonic_s()
         if wait_s <= 0 or self._wake.is_set():
             return
--- a/src/verbenawind/membership/roster.py
+++ b/src/verbenawind/membership/roster.py
@@ -1,4 +1,4 @@
-"""Who is a member: incarnations, suspicion, refutation and the end of a member."""
+"""The membership list: incarnations, suspicion, refutation and expiry of members."""
 
 from collections.abc import Callable, Mapping, Sequence
 from enum import IntEnum
@@ -23,7 +23,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What is believed of a member; of one incarnation the higher status stays."""
+    """A member's believed status; within one incarnation the highest status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -39,7 +39,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon as this one sees it; ``changed_at_s`` is monotonic."""
+    """Another daemon as this one sees it; ``changed_at_s`` is a monotonic time."""
 
     peer: Peer
     status: MemberStatus
@@ -53,15 +53,15 @@
 
 
 class Roster:
-    """Keeps member items in the spread store, and speaks for this daemon's own.
+    """Tracks members by their items in the spread store, and publishes this daemon's own item.
 
     Args:
-        store: Where member items are kept with the others.
+        store: The spread store that holds the member items.
         clock: Time source.
         location: Where this daemon runs.
         peer_id: This daemon's identifier.
-        boot: A number that differs with each start of a daemon.
-        spread: Merges an item here and sends it on.
+        start_id: A number that differs between starts of a daemon.
+        spread: Merges an item locally and forwards it.
     """
 
     __slots__ = (
@@ -108,17 +108,17 @@
         self.superseded = False
 
     def join(self, address: str) -> None:
-        """Begin an incarnation at *address*; it is above what an earlier start had."""
+        """Join at *address* with an incarnation above that of any earlier start."""
         self.address = address
         self.incarnation = int(self._clock.now().timestamp() * 1000)
         self._publish_own(MemberStatus.ALIVE)
 
     def leave(self) -> None:
-        """Tell that this daemon leaves."""
+        """Announce that this daemon leaves."""
         self._publish_own(MemberStatus.LEFT)
 
     def members(self) -> Mapping[str, Member]:
-        """Return the other daemons, also those that ended lately."""
+        """Return the other daemons, including those that ended recently."""
         return self._members
 
     def present(self) -> Sequence[Peer]:
@@ -126,14 +126,14 @@
         return tuple(member.peer for member in self._members.values() if member.present)
 
     def by_zone(self) -> Mapping[str, Sequence[str]]:
-        """Return the identifiers of the present daemons of each zone."""
+        """Return the ids of the other daemons believed to be alive, by zone."""
         zones: dict[str, list[str]] = {}
         for peer in self.present():
             zones.setdefault(peer.location.zone, []).append(peer.peer_id)
         return zones
 
     def apply(self, item: SpreadItem) -> None:
-        """Take in a member item that the store has merged."""
+        """Apply a member item that the store has merged."""
         incarnation, status, _ = item.rank
         body = msgspec.convert(cbor2.loads(item.body), type=_MemberBody)
         if item.key == self.peer_id:
@@ -162,7 +162,7 @@
             )
 
     def suspect(self, peer_id: str, reason: str) -> None:
-        """Spread a suspicion that its subject may refute."""
+        """Spread a suspicion, which the suspected daemon may refute."""
         member = self._members.get(peer_id)
         if member is None or member.status is not MemberStatus.ALIVE:
             return
@@ -170,7 +170,7 @@
         self._spread_status(member, MemberStatus.SUSPECT)
 
     def tick(self) -> None:
-        """End suspicions that nobody refuted, refresh the own item and forget old members."""
+        """Declare unrefuted suspects dead, refresh this daemon's item and drop old members."""
         now_s = self._clock.monotonic_s()
         for member in list(self._members.values()):
             idle_s = now_s - member.changed_at_s
@@ -185,7 +185,7 @@
             self._publish_own(MemberStatus.ALIVE)
 
     def restart_suspicions(self) -> None:
-        """Restart every suspicion: this daemon was paused and could not hear refutations."""
+        """Restart all suspicion time-outs: this daemon was paused and received no refutations."""
         now_s = self._clock.monotonic_s()
         for peer_id, member in self._members.items():
             if member.status is MemberStatus.SUSPECT:
@@ -207,7 +207,7 @@
                     "daemon_id_duplicated",
                     peer=self.peer_id,
                     other_address=body.address,
-                    reason="another running daemon has the same id and a newer start",
+                    reason="another running daemon has the same id and takes precedence",
                 )
                 return
         self._log.info(
--- a/src/verbenawind/membership/servers.py
+++ b/src/verbenawind/membership/servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers exist: the host list, read by few daemons and shared by all."""
+"""Discovery of backend servers from the host list, which few daemons read and share by gossip."""
 
 from collections.abc import Mapping, Sequence
 from enum import StrEnum
@@ -65,17 +65,17 @@
 
 
 class ServerDirectory:
-    """Keeps the fleet's servers as the host list and the peers tell.
+    """Keeps the fleet's set of servers in sync with the host list and the peers.
 
-    Two daemons of each zone read the list often and spread what changes for the servers of
-    their zone, the others seldom. Other zones see a bounded part of a large group.
+    Two daemons of each zone read the list often and spread changes to the servers of their zone;
+    the others read it rarely. Of a large group, other zones see only a limited number of servers.
 
     Args:
-        fleet: The view to keep.
+        fleet: The fleet view to update.
         hosts: The platform's host list.
         peers: The peer bus.
         clock: Time source.
-        rng: Jitter.
+        rng: Random source for jitter.
     """
 
     __slots__ = ("_clock", "_fleet", "_hosts", "_known", "_log", "_mismatches", "_peers", "_rng")
@@ -97,7 +97,7 @@
         fleet.on_leaving(self._spread_leaving)
 
     def is_shown_to_other_zones(self, server: BackendServer) -> bool:
-        """Return whether other zones learn of a server; of a large group they see a part."""
+        """Return whether other zones are told of a server; of a large group only some are."""
         siblings = [view.server for view in self._fleet.group(server.kind, server.group)]
         ids = [
             sibling.server_id
@@ -110,11 +110,11 @@
         return server.server_id in top(key, ids, _MAX_SHOWN_TO_OTHER_ZONES)
 
     def is_responsible_for(self, zone: str) -> bool:
-        """Return whether this daemon speaks for a zone: its own, or one without daemons."""
+        """Return whether this daemon publishes a zone's servers: its own or one without daemons."""
         return zone == self._fleet.location.zone or zone not in self._peers.roster.by_zone()
 
     async def run(self) -> None:
-        """Read the host list until cancelled."""
+        """Read the host list periodically until cancelled."""
         while True:
             await self._clock.sleep(self._period_s() * self._rng.uniform(0.75, 1.25))
             await self.refresh()
@@ -175,7 +175,7 @@
         absent = [server_id for server_id in known if server_id not in listed]
         required = _READS_TO_CONFIRM
         if len(absent) > 1 and 2 * len(absent) > len(known):
-            # A list that lost most servers at once is more likely wrong than they are gone.
+            # If most servers vanish at once, the list is more likely wrong than the servers gone.
             self._log.warning("host_list_doubted", absent=len(absent), known=len(known))
             required = _READS_TO_CONFIRM_MASS_LOSS
         for server_id in absent:
@@ -215,7 +215,7 @@
             self._peers.spread(msgspec.structs.replace(leaving, expires_at_s=until_s))
 
     def _item_kinds(self, server_id: str, body: _ServerBody) -> Sequence[str]:
-        """Return the kind that fits, and any under which an older item is about."""
+        """Return the server's current item kind, and the other if an older item still has it."""
         is_shown = self.is_shown_to_other_zones(_server(server_id, 0, body))
         current_kind = _REMOTE_SERVER_KIND if is_shown else _SERVER_KIND
         return [
@@ -245,7 +245,7 @@
             self._on_leaving(leaving)
 
     def _prune_gone(self) -> None:
-        """Drop the oldest servers that are gone; the newest ones' ranks are still needed."""
+        """Drop the oldest gone servers; the ranks of recent ones still reject outdated items."""
         gone = [
             server_id
             for server_id, known in self._known.items()
--- a/src/verbenawind/membership/store.py
+++ b/src/verbenawind/membership/store.py
@@ -1,4 +1,4 @@
-"""Mergeable state that daemons spread: of one key the highest rank stays."""
+"""Mergeable replicated state: for each key the item with the highest rank wins."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from enum import IntEnum
@@ -18,9 +18,10 @@
 
 
 class ItemClass(IntEnum):
-    """How items of a kind travel.
+    """How items of a kind are forwarded.
 
-    Urgent ones flood every link, bulk ones follow a tree; those of a zone don't leave it.
+    Urgent items are flooded over every link and bulk items follow a tree. In-zone bulk items do not
+    leave their zone.
     """
 
     URGENT = 0
@@ -49,10 +50,10 @@
 
 
 class SpreadStore:
-    """Holds spread items, bounded in size and count, with digests for comparing two stores.
+    """Stores spread items, limited in size and count, with digests for comparing two stores.
 
     Args:
-        clock: Gives the wall-clock time that expiry is judged by.
+        clock: Time source; items expire by its wall-clock time.
     """
 
     __slots__ = ("_by_hash", "_changed_at_s", "_clock", "_digests", "_kinds", "_log", "_tombstones")
@@ -68,11 +69,11 @@
 
     @staticmethod
     def class_of(kind: str) -> ItemClass:
-        """Return how items of *kind* travel."""
+        """Return how items of *kind* are forwarded."""
         return _CLASS_OF_KIND.get(kind, ItemClass.URGENT)
 
     def merge(self, item: SpreadItem) -> bool:
-        """Keep *item* if it outranks what is held; return whether it does."""
+        """Store *item* if it outranks the stored one; return whether it was stored."""
         kind = self._kinds.setdefault(item.kind, {})
         previous = kind.get(item.key)
         if previous is not None and _merge_order(previous.item) >= _merge_order(item):
@@ -93,7 +94,7 @@
         return True
 
     def get(self, kind: str, key: str) -> SpreadItem | None:
-        """Return the unexpired item of a key."""
+        """Return the unexpired item of a key, or None."""
         stored = self._kinds.get(kind, {}).get(key)
         if stored is None or self._is_expired(stored.item):
             return None
@@ -108,7 +109,7 @@
         )
 
     def drop(self, kind: str, key: str) -> None:
-        """Forget an item, and refuse its rank for a time so that peers can't bring it back."""
+        """Remove an item, and reject its rank for a time so that peers cannot restore it."""
         stored = self._kinds.get(kind, {}).get(key)
         if stored is None:
             return
@@ -119,7 +120,7 @@
         )
 
     def expire(self) -> None:
-        """Forget expired items and old tombstones."""
+        """Remove expired items and old tombstones."""
         for kind in self._kinds.values():
             for stored in [stored for stored in kind.values() if self._is_expired(stored.item)]:
                 self._remove(stored)
@@ -131,7 +132,7 @@
         }
 
     def total_digest(self, item_class: ItemClass) -> int:
-        """Return one digest of everything held of a class."""
+        """Return one digest of all stored items of a class."""
         total = 0
         for digest in self._digests[item_class]:
             total ^= digest
@@ -142,11 +143,11 @@
         return tuple(self._digests[item_class])
 
     def unchanged_s(self, item_class: ItemClass, bucket: int) -> float:
-        """Return for how long nothing was added to a bucket, in seconds."""
+        """Return the seconds since an item was last added to a bucket."""
         return self._clock.monotonic_s() - self._changed_at_s[item_class][bucket]
 
     def hashes(self, item_class: ItemClass, buckets: Iterable[int]) -> Mapping[int, int]:
-        """Return the content hash by key hash of what some buckets hold."""
+        """Return the content hashes of the items in *buckets*, by key hash."""
         return {
             key_hash: stored.item_hash
             for bucket in buckets
@@ -154,7 +155,7 @@
         }
 
     def by_hash(self, item_class: ItemClass, key_hash: int) -> SpreadItem | None:
-        """Return the item with a key hash."""
+        """Return the item with a key hash, or None."""
         stored = self._by_hash.get((item_class, key_hash % BUCKETS), {}).get(key_hash)
         return stored.item if stored else None
 
@@ -164,7 +165,7 @@
         return stored.key_hash, stored.item_hash
 
     def count(self) -> int:
-        """Return how many items are held."""
+        """Return the number of stored items."""
         return sum(len(kind) for kind in self._kinds.values())
 
     def _add(self, stored: _StoredItem) -> None:
--- a/src/verbenawind/membership/topology.py
+++ b/src/verbenawind/membership/topology.py
@@ -1,4 +1,4 @@
-"""Which peers a daemon links to: a few in its zone, and fewer between zones."""
+"""The overlay topology: a few links within each zone, and fewer between zones."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -13,10 +13,10 @@
 
 
 def zone_targets(own_id: str, zone_ids: Iterable[str]) -> Sequence[str]:
-    """Return the zone's daemons that *own_id* dials.
+    """Return the daemons of the zone that *own_id* dials.
 
-    They are its next ones on a ring in hash order, and one across the ring, which keeps the
-    longest way short.
+    They are its successors on a ring in hash order, and the opposite one, which keeps the diameter
+    of the overlay small.
     """
     ring = sorted({*zone_ids, own_id}, key=lambda peer_id: (_hash(peer_id), peer_id))
     position = ring.index(own_id)
@@ -28,7 +28,7 @@
 def bridge_targets(
     own_id: str, own_zone: str, members_by_zone: Mapping[str, Sequence[str]]
 ) -> Mapping[str, str]:
-    """Return the daemon of each other zone that *own_id* dials for its zone, if any."""
+    """Return the daemon to dial in each other zone for which *own_id* bridges its own zone."""
     targets: dict[str, str] = {}
     own_zone_ids = [*members_by_zone.get(own_zone, ()), own_id]
     for zone, members in members_by_zone.items():
--- a/src/verbenawind/membership/watching.py
+++ b/src/verbenawind/membership/watching.py
@@ -1,4 +1,4 @@
-"""Each engine is probed by a few daemons, which spread what changed."""
+"""Health and load monitoring: a few daemons probe each engine and spread the changes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -38,7 +38,7 @@
 
 
 class _EngineSummary(msgspec.Struct, frozen=True, array_like=True):
-    """An engine's report on the wire."""
+    """An engine's status as encoded for peers."""
 
     running: int
     waiting: int
@@ -49,7 +49,7 @@
 
 
 class _ProbeState:
-    """What this daemon spread of one engine."""
+    """Probe failures of one engine, and when this daemon last published its load and suspicion."""
 
     __slots__ = ("failures", "load_published_at_s", "suspicion_published_at_s")
 
@@ -60,15 +60,15 @@
 
 
 class FleetWatcher:
-    """Keeps the fleet fresh from the host list, from probes and from peers.
+    """Keeps the fleet view current from the host list, probes and peers.
 
     Args:
-        fleet: The view to keep fresh.
+        fleet: The fleet view to update.
         hosts: The platform's host list.
-        clients: Clients of the engines.
+        clients: Clients for the engines.
         peers: The peer bus.
         clock: Time source.
-        rng: Jitter.
+        rng: Random source for jitter.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         peers.on_item(_SUSPECT_KIND, self._on_suspect)
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Read the host list and probe the assigned engines until cancelled."""
         try:
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._directory.run())
@@ -110,7 +110,7 @@
                 task.cancel()
 
     async def refresh(self) -> None:
-        """Read the host list once, and probe what this daemon watches."""
+        """Read the host list and probe the assigned engines once."""
         await self._directory.refresh()
         await asyncio.gather(*(self._probe(server_id) for server_id in self._assigned()))
 
@@ -138,7 +138,11 @@
         return [view for view in self._fleet.all() if view.server.kind is BackendKind.ENGINE]
 
     def _assigned(self) -> Sequence[str]:
-        """Return the engines that this daemon probes; with few daemons each probes more, slower."""
+        """Return the engines that this daemon probes.
+
+        Engines are divided among the daemons, so with few daemons each one probes more engines, at
+        a lower rate.
+        """
         zones = self._peers.roster.by_zone()
         all_peer_ids = [peer.peer_id for peer in self._peers.peers()]
         own_id, own_zone = self._peers.peer_id, self._fleet.location.zone
@@ -176,7 +180,7 @@
         probe_state = self._probe_states.setdefault(server_id, _ProbeState())
         recovered, probe_state.failures = probe_state.failures >= _FAILURES_TO_SUSPECT, 0
         if self._merged_at_s.get(server_id, float("-inf")) > asked_at_s and not status.leaving:
-            return  # A peer observed the engine after this probe was sent.
+            return  # A peer has observed the engine since this probe was sent.
         self._fleet.observe(status)
         if recovered:
             self._publish(status)
@@ -210,7 +214,7 @@
         )
 
     def _on_observed(self, status: EngineStatus) -> None:
-        """Spread what this daemon observed if it differs from what the peers know."""
+        """Publish an observed status if it differs from what peers know."""
         known_status = self._known_status(status.server_id)
         if known_status is None or _urgent_fields(known_status) != _urgent_fields(status):
             self._publish(status)
@@ -223,7 +227,7 @@
             self._publish(status)
 
     def _load_interval_s(self) -> float:
-        """Return the spacing that keeps the load updates of one zone within their rate."""
+        """Return the interval per engine that keeps a zone's load updates within the rate limit."""
         zone = self._fleet.location.zone
         engines = sum(view.server.location.zone == zone for view in self._engines())
         return max(_MIN_LOAD_INTERVAL_S, engines / _LOAD_UPDATES_PER_S)
@@ -259,7 +263,7 @@
         self._fleet.learn(_status(item))
 
     def _on_server(self, item: SpreadItem) -> None:
-        """Give a server that has just become known the report that came before it."""
+        """Apply a status that arrived before its server became known."""
         view = self._fleet.view(item.key)
         if view is None:
             self._forget(item.key)
@@ -269,7 +273,7 @@
             self._fleet.learn(status)
 
     def _forget(self, server_id: str) -> None:
-        """Drop the report of a server that is gone; its rank is kept in case it returns."""
+        """Drop the status of a server that is gone, but keep its rank in case it returns."""
         for kind in (_ENGINE_KIND, _REMOTE_ENGINE_KIND):
             self._peers.store.drop(kind, server_id)
         self._merged_at_s.pop(server_id, None)
@@ -284,7 +288,7 @@
 
 
 def _urgent_fields(status: EngineStatus) -> tuple[object, ...]:
-    """Return what peers must know at once when it changes."""
+    """Return the fields whose changes are published immediately."""
     return (
         status.incarnation,
         tuple((model.model, model.active_version, model.swap_state) for model in status.models),
@@ -294,7 +298,7 @@
 
 
 def _load_level(status: EngineStatus) -> tuple[int, int]:
-    """Return the load in steps of a quarter, and the queue in powers of two."""
+    """Return the load in quarters of capacity and the queue length in powers of two."""
     return 4 * status.running // max(1, status.max_running), status.waiting.bit_length()
 
 
--- a/src/verbenawind/membership/wire.py
+++ b/src/verbenawind/membership/wire.py
@@ -1,4 +1,4 @@
-"""The messages between daemons and their CBOR form."""
+"""The messages between daemons and their CBOR encoding."""
 
 import zlib
 from collections.abc import Iterable, Sequence
@@ -33,11 +33,11 @@
 
 
 class _Message(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The base of all messages; they travel as arrays that begin with their tag."""
+    """Base of all messages, which are encoded as arrays that begin with their tag."""
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A spread item on the wire."""
+    """The encoded form of a spread item."""
 
     kind: str
     key: str
@@ -47,7 +47,7 @@
 
     @classmethod
     def of(cls, item: SpreadItem) -> "Entry":
-        """Return the wire form of *item*."""
+        """Return the encoded form of *item*."""
         return cls(
             kind=item.kind,
             key=item.key,
@@ -68,7 +68,7 @@
 
 
 class Hello(_Message, frozen=True, kw_only=True, array_like=True, tag=0):
-    """The dialler's first message: who it is and its nonce."""
+    """The dialler's first message, with its identity and nonce."""
 
     nonce: bytes
     peer_id: str
@@ -80,22 +80,23 @@
 
 
 class Challenge(_Message, frozen=True, kw_only=True, array_like=True, tag=1):
-    """The acceptor's answer: its nonce, without saying who it is."""
+    """The acceptor's reply, with its nonce but not its identity."""
 
     nonce: bytes
 
 
 class Proof(_Message, frozen=True, kw_only=True, array_like=True, tag=2):
-    """A proof of the shared key over both nonces; the acceptor's also says who it is."""
+    """A MAC over both nonces with the shared key; the acceptor's also carries its Hello."""
 
     mac: bytes
     hello: bytes = b""
 
 
 class Heartbeat(_Message, frozen=True, kw_only=True, array_like=True, tag=3):
-    """Says that the sender lives, and digests of what it holds.
+    """A sign of life with digests of the sender's items.
 
-    A digest of what changed lately is left out: it would differ from the receiver's for a while.
+    Digests of recently changed items are omitted, because they differ from the receiver's until the
+    changes have spread.
     """
 
     urgent_digest: int | None
@@ -105,35 +106,35 @@
 
 
 class Ping(_Message, frozen=True, kw_only=True, array_like=True, tag=4):
-    """Asks for a sign of life at once."""
+    """Requests an immediate Pong."""
 
     number: int
 
 
 class Pong(_Message, frozen=True, kw_only=True, array_like=True, tag=5):
-    """Answers a ping, or a ping request for *peer_id* whose subject lives."""
+    """Replies to a Ping, or to a PingRequest if the requested *peer_id* is alive."""
 
     number: int
     peer_id: str = ""
 
 
 class PingRequest(_Message, frozen=True, kw_only=True, array_like=True, tag=6):
-    """Asks whether *peer_id* gives signs of life to the receiver."""
+    """Requests a Pong if *peer_id* is alive as seen by the receiver."""
 
     number: int
     peer_id: str
 
 
 class Items(_Message, frozen=True, kw_only=True, array_like=True, tag=7):
-    """Spread items that the sender believes to be new to the receiver."""
+    """Items that are probably new to the receiver."""
 
     entries: tuple[Entry, ...]
 
 
 class Summary(_Message, frozen=True, kw_only=True, array_like=True, tag=8):
-    """Hashes of key and content of everything that the sender holds in some buckets.
+    """Key and content hashes of all of the sender's items in some buckets.
 
-    With no buckets it announces single items whose bodies are too large to be pushed unasked.
+    Without buckets it announces single items whose bodies are too large to be pushed.
     """
 
     item_class: int
@@ -142,25 +143,25 @@
 
 
 class BucketDigests(_Message, frozen=True, kw_only=True, array_like=True, tag=9):
-    """The digest of each bucket of one class."""
+    """The digests of all buckets of one class."""
 
     item_class: int
     digests: tuple[int, ...]
 
 
 class Want(_Message, frozen=True, kw_only=True, array_like=True, tag=10):
-    """Asks for the items with these key hashes."""
+    """Requests the items with the given key hashes."""
 
     item_class: int
     key_hashes: tuple[int, ...]
 
 
 class Prune(_Message, frozen=True, kw_only=True, array_like=True, tag=11):
-    """Asks not to push bulk items on this link: they come sooner by another one."""
+    """Requests that no bulk items be pushed on this link: they arrive earlier on another one."""
 
 
 class Call(_Message, frozen=True, kw_only=True, array_like=True, tag=12):
-    """A call of one of the receiver's handlers."""
+    """A call to one of the receiver's handlers."""
 
     number: int
     kind: str
@@ -168,7 +169,7 @@
 
 
 class Reply(_Message, frozen=True, kw_only=True, array_like=True, tag=13):
-    """The answer to a call; *error* is empty when the handler returned."""
+    """The reply to a call; *error* is empty if the handler succeeded."""
 
     number: int
     body: bytes = b""
@@ -176,7 +177,7 @@
 
 
 class Bye(_Message, frozen=True, kw_only=True, array_like=True, tag=14):
-    """Says that the sender closes the link on purpose and goes on living."""
+    """Announces that the sender closes this link deliberately and stays alive."""
 
 
 Message = (
@@ -199,13 +200,13 @@
 
 _MIN_COMPRESSED_BYTES = 128
 _COMPRESSION_LEVEL = 6
-_ZLIB_HEADER = b"\x78"  # No CBOR array of messages begins with this byte.
+_ZLIB_HEADER = b"\x78"  # No CBOR array starts with this byte.
 _MAX_FRAME_BYTES = 16 * 1024 * 1024
 _MESSAGES = tuple[Message, ...]
 
 
 def encode(messages: Iterable[Message]) -> bytes:
-    """Return one frame that holds *messages* in order."""
+    """Return one frame that contains *messages* in order."""
     built = [msgspec.to_builtins(message, builtin_types=(bytes,)) for message in messages]
     frame = cbor2.dumps(built)
     if len(frame) < _MIN_COMPRESSED_BYTES:
@@ -214,7 +215,11 @@
 
 
 def decode(data: bytes) -> Sequence[Message]:
-    """Return the messages of a frame; raises PeerUnreachable when it is malformed."""
+    """Return the messages of a frame.
+
+    Raises:
+        PeerUnreachable: The frame is malformed or too large.
+    """
     try:
         frame = _decompress(data) if data[:1] == _ZLIB_HEADER else data
         return msgspec.convert(cbor2.loads(frame), type=_MESSAGES)
