--- a/tests/membership/test_bus.py
+++ b/tests/membership/test_bus.py
@@ -1,4 +1,4 @@
-"""Tests of membership between daemons on virtual time, by produced failure."""
+"""Tests of membership and gossip between daemons on virtual time, under injected failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 class Cluster:
-    """Peer buses in one process, without the rest of their daemons."""
+    """Peer buses in one process, without complete daemons."""
 
     def __init__(self, sizes: dict[str, int], seed: int = 1) -> None:
         self.rng = Random(seed)
@@ -80,7 +80,7 @@
         started_s = self.clock.monotonic_s()
         while not condition():
             passed_s = self.clock.monotonic_s() - started_s
-            assert passed_s < limit_s, f"not within {limit_s} s"
+            assert passed_s < limit_s, f"condition not met within {limit_s} s"
             await asyncio.sleep(0.05)
         return self.clock.monotonic_s() - started_s
 
@@ -109,7 +109,7 @@
 class TestDetection:
     @pytest.mark.parametrize("silent", [False, True])
     def test_crash_is_seen_by_the_zone_within_5_s(self, silent: bool) -> None:
-        """A killed process and a host that falls silent are dead for all of the zone in 5 s."""
+        """A killed process or silent host is removed by all daemons of its zone within 5 s."""
 
         async def work(cluster: Cluster) -> float:
             victim, others = "a-3", [name for name in cluster.zones if name[0] == "a"]
@@ -123,7 +123,7 @@
         run_cluster({"a": 12, "b": 3}, work)
 
     def test_leave_is_seen_within_2_s(self) -> None:
-        """A daemon that stops gracefully is gone from its zone's lists in 2 s."""
+        """A daemon that stops gracefully is removed by its zone within 2 s."""
 
         async def work(cluster: Cluster) -> None:
             await cluster.buses["a-0"].stop()
@@ -132,8 +132,8 @@
 
         run_cluster({"a": 12, "b": 3}, work)
 
-    def test_no_false_death_at_a_tenth_of_messages_lost(self) -> None:
-        """In five minutes with 10% of messages lost no daemon takes another for dead."""
+    def test_no_false_death_with_a_tenth_of_messages_lost(self) -> None:
+        """With 10% of messages lost, no daemon is falsely declared dead in five minutes."""
 
         async def work(cluster: Cluster) -> None:
             cluster.network.loss_rate = 0.1
@@ -143,8 +143,8 @@
 
         run_cluster({"a": 8, "b": 2}, work)
 
-    def test_paused_process_returns_and_accuses_nobody(self) -> None:
-        """A process paused for a minute is listed again, and the others were never unlisted."""
+    def test_resumed_process_rejoins_without_false_deaths(self) -> None:
+        """A process paused for a minute is listed again and does not declare others dead."""
 
         async def work(cluster: Cluster) -> None:
             others = [name for name in cluster.zones if name != "a-1"]
@@ -163,7 +163,7 @@
 class TestIncarnations:
     @pytest.mark.parametrize("skew_s", [0.0, -3600.0])
     def test_return_at_the_same_address(self, skew_s: float) -> None:
-        """A daemon that crashed returns at its address, also when its clock has stepped back."""
+        """A crashed daemon rejoins at its old address, even if its clock stepped back."""
 
         async def work(cluster: Cluster) -> None:
             await cluster.buses["a-2"].kill()
@@ -175,7 +175,7 @@
         run_cluster({"a": 5}, work)
 
     def test_return_within_a_second_at_another_address(self) -> None:
-        """A daemon replaced at once at another address is listed there by everybody."""
+        """A daemon replaced immediately at another address is listed there by all others."""
 
         async def work(cluster: Cluster) -> None:
             await cluster.buses["a-2"].kill()
@@ -193,7 +193,7 @@
         run_cluster({"a": 5}, work)
 
     def test_duplicate_id_is_settled(self) -> None:
-        """Of two running daemons with one id exactly one gives way, and incarnations rest."""
+        """Of two running daemons with one id exactly one gives way; incarnations settle."""
 
         async def work(cluster: Cluster) -> None:
             first = cluster.buses["a-1"]
@@ -211,23 +211,23 @@
 
 
 class TestLinks:
-    def test_stranger_is_refused(self) -> None:
-        """A daemon with another key joins nobody and learns nothing."""
+    def test_daemon_with_another_key_is_refused(self) -> None:
+        """A daemon with a different key is not listed and receives no items."""
 
         async def work(cluster: Cluster) -> None:
             address = cluster.network.new_address()
-            stranger = cluster.make("x-0", zone="a", key=b"another-key", address=address)
+            unauthorized = cluster.make("x-0", zone="a", key=b"another-key", address=address)
             cluster.buses["a-0"].spread(_item("revision", 7))
-            await stranger.start()
+            await unauthorized.start()
             await asyncio.sleep(20.0)
-            assert stranger.peers() == ()
-            assert stranger.items("revision") == ()
+            assert unauthorized.peers() == ()
+            assert unauthorized.items("revision") == ()
             assert not cluster.lists("x-0", cluster.zones)
 
         run_cluster({"a": 3}, work)
 
     def test_number_of_links_stays_small(self) -> None:
-        """No daemon of a zone of 40 keeps more than a dozen links."""
+        """No daemon in a zone of 40 keeps more than twelve links."""
 
         async def work(cluster: Cluster) -> None:
             await asyncio.sleep(30.0)
@@ -238,8 +238,8 @@
 
 class TestPartition:
     @pytest.mark.parametrize("both_ways", [True, False])
-    def test_zones_part_and_meet_again(self, both_ways: bool) -> None:
-        """Items spread on both sides of a cut between zones are everywhere soon after it heals."""
+    def test_items_converge_after_a_partition(self, both_ways: bool) -> None:
+        """Items spread on both sides of a partition reach all daemons soon after it heals."""
 
         async def work(cluster: Cluster) -> None:
             cluster.network.cut("a", "b", both_ways=both_ways)
@@ -261,7 +261,7 @@
 
 class TestSpreading:
     def test_highest_rank_wins_everywhere(self) -> None:
-        """Whatever the order of spreading, each daemon ends with the highest rank."""
+        """All daemons converge to the highest rank, regardless of the order of spreading."""
 
         async def work(cluster: Cluster) -> None:
             cluster.network.loss_rate = 0.1
@@ -274,7 +274,7 @@
         run_cluster({"a": 6, "b": 3}, work)
 
     def test_new_daemon_gets_everything(self) -> None:
-        """A daemon that joins late holds every item, bulk ones too."""
+        """A daemon that joins late receives every item, including bulk ones."""
 
         async def work(cluster: Cluster) -> None:
             for number in range(200):
@@ -293,7 +293,7 @@
         run_cluster({"a": 5}, work)
 
     def test_lost_bulk_items_are_repaired(self) -> None:
-        """With 10% of messages lost every bulk update reaches the whole zone."""
+        """With 10% of messages lost the latest bulk items still reach the whole zone."""
 
         async def work(cluster: Cluster) -> None:
             cluster.network.loss_rate = 0.1
@@ -313,8 +313,8 @@
 
         run_cluster({"a": 8}, work)
 
-    def test_unreadable_items_do_no_harm(self) -> None:
-        """An item whose body cannot be read breaks neither links nor other items."""
+    def test_undecodable_items_are_ignored(self) -> None:
+        """An item whose body cannot be decoded affects neither links nor other items."""
 
         async def work(cluster: Cluster) -> None:
             item = SpreadItem(kind="member", key="m", rank=(1, 0, 0), body=b"\xff")
@@ -327,7 +327,7 @@
         run_cluster({"a": 3}, work)
 
     def test_expired_items_vanish(self) -> None:
-        """An item is gone after its expiry, and a peer cannot bring it back."""
+        """An item disappears after its expiry, and peers do not restore it."""
 
         async def work(cluster: Cluster) -> None:
             expires_at_s = cluster.clock.now().timestamp() + 3.0
@@ -344,7 +344,7 @@
 
 class TestCalls:
     def test_call_is_answered_by_the_peer(self) -> None:
-        """A call reaches the handler of the named peer, and an unknown kind is refused."""
+        """A call reaches the handler of the named peer, and an unknown kind is rejected."""
 
         async def work(cluster: Cluster) -> None:
             async def answer(body: bytes) -> bytes:
--- a/tests/membership/test_many_engines.py
+++ b/tests/membership/test_many_engines.py
@@ -1,4 +1,4 @@
-"""Tests of watching many engines with few daemons."""
+"""Tests of monitoring many engines with few daemons."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 class TestManyEngines:
     def test_one_daemon_learns_the_state_of_all_engines(self) -> None:
-        """A zone whose daemons have all but one gone still has a report of each engine."""
+        """The only daemon of a zone has a status of each of its 150 engines within 5 s."""
 
         async def scenario() -> int:
             world = World(regions=("bangkok",))
--- a/tests/membership/test_watching.py
+++ b/tests/membership/test_watching.py
@@ -1,4 +1,4 @@
-"""Tests of how daemons follow the backend servers, by produced failure."""
+"""Tests of backend server discovery and monitoring, under injected failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -40,8 +40,8 @@
 
 
 class TestLeaving:
-    def test_own_report_reaches_everybody(self) -> None:
-        """An engine that reports that it leaves is left by all daemons within 3 s."""
+    def test_own_report_reaches_all_daemons(self) -> None:
+        """An engine that reports itself as leaving is marked so by all daemons within 3 s."""
 
         async def work(world: World, cores: list[Core]) -> None:
             world.engines["engine-0"].leaving = True
@@ -50,8 +50,8 @@
 
         run_world(work)
 
-    def test_host_list_reaches_everybody(self) -> None:
-        """A server that the host list shows as leaving is left by all daemons within 3 s."""
+    def test_host_list_reaches_all_daemons(self) -> None:
+        """A server listed as leaving is marked so by all daemons within 3 s of the list's lag."""
 
         async def work(world: World, cores: list[Core]) -> None:
             world.hosts.mark_leaving("engine-1")
@@ -61,7 +61,7 @@
         run_world(work)
 
     def test_drain_is_sticky_for_a_late_daemon(self) -> None:
-        """A drained server is also left by a daemon that starts later."""
+        """A drained server is also marked as leaving by a daemon that starts later."""
 
         async def work(world: World, cores: list[Core]) -> None:
             item = SpreadItem(kind="leaving", key="engine-2", rank=(1,), body=b"")
@@ -78,7 +78,7 @@
 
 class TestProbing:
     def test_each_engine_has_two_watchers(self) -> None:
-        """An engine is probed no more often than two watchers do, however many daemons run."""
+        """The probe rate of an engine matches two watchers, however many daemons run."""
 
         async def work(world: World, cores: list[Core]) -> None:
             engine = world.engines["engine-0"]
@@ -97,7 +97,7 @@
         run_world(work)
 
     def test_crashed_engine_is_suspected_until_it_returns(self) -> None:
-        """A crash stops new work of all daemons in 3 s, and the restart brings it back in 5 s."""
+        """A crashed engine is unusable for all daemons in 3 s, and usable 5 s after its restart."""
 
         async def work(world: World, cores: list[Core]) -> None:
             engine = world.engines["engine-3"]
@@ -115,7 +115,7 @@
         run_world(work)
 
     def test_result_of_an_order_is_known_everywhere_at_once(self) -> None:
-        """The version that an order brought about is in every daemon's view within a second."""
+        """The version activated by an order is in every daemon's view within a second."""
 
         async def work(world: World, cores: list[Core]) -> None:
             world.weights.put("tuner", 4)
@@ -140,21 +140,21 @@
 
 
 class TestHostList:
-    def test_emptied_list_is_not_believed_at_once(self) -> None:
-        """When the list suddenly names nobody the servers stay in use."""
+    def test_emptied_list_is_not_applied_at_once(self) -> None:
+        """If the host list suddenly becomes empty, the servers stay in use."""
 
         async def work(world: World, cores: list[Core]) -> None:
-            async def nobody() -> tuple[()]:
+            async def empty_list() -> tuple[()]:
                 return ()
 
-            world.hosts.hosts = nobody  # type: ignore[method-assign]
+            world.hosts.hosts = empty_list  # type: ignore[method-assign]
             await asyncio.sleep(8.0)
             assert all(len(core.fleet.all()) == 6 for core in cores)
 
         run_world(work)
 
     def test_removed_and_new_servers_are_followed(self) -> None:
-        """A server taken off the list is forgotten by all, and a new one is used by all."""
+        """All daemons drop a server removed from the list and add a new one."""
 
         async def work(world: World, cores: list[Core]) -> None:
             world.engines["engine-5"].crash()
@@ -170,7 +170,7 @@
         run_world(work)
 
     def test_daemon_cut_off_at_start_learns_from_peers(self) -> None:
-        """A daemon that starts in a zone cut off from the platform knows the zone's engines."""
+        """A daemon started in a zone cut off from the platform learns the zone's engines."""
 
         async def work(world: World, cores: list[Core]) -> None:
             zone = cores[0].settings.zone
--- a/tests/membership/test_websocket_links.py
+++ b/tests/membership/test_websocket_links.py
@@ -1,4 +1,4 @@
-"""Tests of peer links over real websockets on loopback."""
+"""Tests of peer links over real WebSockets on the loopback interface."""
 
 import asyncio
 from collections.abc import Sequence
@@ -27,16 +27,16 @@
 
 
 class TestWebSocketLinks:
-    def test_peers_meet_and_a_stranger_is_refused(self) -> None:
-        """Daemons with the key list each other and call; one without it joins nobody."""
+    def test_peers_connect_and_one_with_another_key_is_refused(self) -> None:
+        """Daemons with the shared key list and call each other; one with another key is refused."""
 
         async def scenario() -> None:
             first = make_bus("a-0", ())
             await first.start()
             second = make_bus("a-1", (first.address,))
-            stranger = make_bus("x-0", (first.address,), b"another-key")
+            unauthorized = make_bus("x-0", (first.address,), b"another-key")
             await second.start()
-            await stranger.start()
+            await unauthorized.start()
 
             async def echo(body: bytes) -> bytes:
                 return body
@@ -49,8 +49,8 @@
             assert first.refused_links > 0
             assert [peer.peer_id for peer in first.peers()] == ["a-1"]
             assert await first.call("a-1", "echo", b"hello", LIMIT_S) == b"hello"
-            assert stranger.peers() == ()
-            for bus in (stranger, second, first):
+            assert unauthorized.peers() == ()
+            for bus in (unauthorized, second, first):
                 await bus.stop()
 
         asyncio.run(scenario())
--- a/tests/state/test_beats.py
+++ b/tests/state/test_beats.py
@@ -1,4 +1,4 @@
-"""Tests of heartbeats over a row store: who is taken for gone, and who is not."""
+"""Tests of failure detection by heartbeat rows in the store."""
 
 from node.fleet import Fleet, run_fleet
 from verbenawind.kernel.row_ports import RowId
@@ -7,7 +7,7 @@
 
 class TestSilence:
     def test_silent_owner_is_gone_after_two_seconds(self) -> None:
-        """A host that stops beating is taken for gone soon, but not at its first missed beat."""
+        """A host without heartbeats is presumed gone within 2.5 s, but not at one missed beat."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -21,8 +21,8 @@
 
         run_fleet(work)
 
-    def test_nobody_is_gone_while_the_table_is_out_of_reach(self) -> None:
-        """Without a view of the table, silence says nothing about the others."""
+    def test_no_host_is_gone_during_a_table_outage(self) -> None:
+        """During an outage of the table, and shortly after it, no host is presumed gone."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -43,7 +43,7 @@
 
 class TestIncarnations:
     def test_replaced_process_is_gone_at_once(self) -> None:
-        """The owner of a former process is gone as soon as its successor has beaten."""
+        """A process is gone as soon as its successor on the same host has written a heartbeat."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -60,7 +60,7 @@
         run_fleet(work)
 
     def test_process_whose_first_beat_is_late_is_not_gone(self) -> None:
-        """A new process that owns work before its first beat has arrived is left alone."""
+        """A new process that owns work before its first heartbeat arrives is not presumed gone."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -75,7 +75,7 @@
         run_fleet(work)
 
     def test_leaving_host_is_gone_at_once(self) -> None:
-        """A host that has said that it leaves owns nothing any more."""
+        """A host that announces that it leaves is gone at once."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -92,7 +92,7 @@
 
 class TestWrites:
     def test_idle_hosts_beat_rarely(self) -> None:
-        """Hosts without work write a row each few seconds, not several each second."""
+        """Hosts without work write a row every few seconds, not several per second."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=4)
--- a/tests/state/test_clients.py
+++ b/tests/state/test_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the store clients, by produced failure."""
+"""Tests of the store clients under injected failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 class InterferingTable(StandinTable):
-    """A table that lets somebody else write between an attempt and its retry."""
+    """A table that runs another write between an attempt and its retry."""
 
     between: Callable[[], Awaitable[None]] | None = None
 
@@ -50,8 +50,8 @@
 
 
 class TestLostAnswers:
-    def test_lost_answer_of_an_effect_is_success(self) -> None:
-        """A commit whose answer was lost after the effect succeeds, and takes effect once."""
+    def test_lost_response_to_an_applied_commit_is_success(self) -> None:
+        """A commit whose response is lost after it was applied succeeds, and is applied once."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             table.faults.lose_next_answers = 1
@@ -60,8 +60,8 @@
 
         with_table(work)
 
-    def test_overwritten_effect_is_told_by_another_row(self) -> None:
-        """When another has overwritten one row, a row that only this commit wrote proves it."""
+    def test_overwritten_commit_is_proved_by_another_row(self) -> None:
+        """If one row was overwritten, another row of a commit proves that it was applied."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             async def other() -> None:
@@ -75,7 +75,7 @@
         with_table(work)
 
     def test_hidden_effect_is_unknown(self) -> None:
-        """When a later write hides whether the commit took effect, neither is claimed."""
+        """If a later write hides whether a commit was applied, its effect is possible."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             async def other() -> None:
@@ -89,8 +89,8 @@
 
         with_table(work)
 
-    def test_commit_overtaken_before_its_effect_failed(self) -> None:
-        """A commit that got lost on its way and was overtaken is reported as refused."""
+    def test_commit_overtaken_before_it_was_applied_is_rejected(self) -> None:
+        """A commit lost on its way and then overtaken by another is reported as rejected."""
 
         class Losing(StandinTable):
             lost = False
@@ -115,8 +115,8 @@
 
         run_virtual(scenario())
 
-    def test_read_back_without_answer_is_unknown(self) -> None:
-        """A store that goes down between the effect and the read-back leaves the effect open."""
+    def test_failed_read_back_is_unknown(self) -> None:
+        """If the store goes down before the read-back, the effect is reported as possible."""
 
         class GoingDown(StandinTable):
             async def commit(self, transaction: Transaction) -> None:
@@ -136,8 +136,8 @@
 
         run_virtual(scenario())
 
-    def test_down_store_took_no_effect(self) -> None:
-        """A store that refused every attempt leaves nothing in doubt."""
+    def test_unavailable_store_has_no_effect(self) -> None:
+        """If the store is down for every attempt, no effect is reported as possible."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             table.faults.down = True
@@ -158,15 +158,17 @@
             (5, "other", Effect.UNKNOWN),
         ],
     )
-    def test_versions_tell(self, version: int, operation_id: str, expected: Effect) -> None:
-        """The row's version against the expected one tells what can be told."""
+    def test_effect_is_inferred_from_versions(
+        self, version: int, operation_id: str, expected: Effect
+    ) -> None:
+        """The row's version relative to the expected one determines the inferred effect."""
         row = Row(key="a", value=b"", version=version, operation_id=operation_id)
         assert infer_effect(transaction("op", write("a", 3)), {"a": row}) is expected
 
 
 class TestProtection:
     def test_breaker_opens_and_closes_again(self) -> None:
-        """A store that is down is asked rarely, and is used again soon after it returns."""
+        """A store that is down is called rarely, and is used again soon after it recovers."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             asked = 0
@@ -190,8 +192,8 @@
 
         with_table(work)
 
-    def test_slow_store_still_answers(self) -> None:
-        """A store that takes three seconds an answer is slow, not unavailable."""
+    def test_slow_store_is_available(self) -> None:
+        """A store that takes three seconds per response is not reported as unavailable."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             table.faults.delay_s = 3.0
@@ -201,7 +203,7 @@
         with_table(work)
 
     def test_number_of_concurrent_calls_is_limited(self) -> None:
-        """However many calls wait, the store sees no more than the limit at once."""
+        """However many calls wait, the store receives no more than the limit concurrently."""
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             running = most = 0
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of configuration between daemons of one world, by produced failure."""
+"""Tests of configuration shared by the daemons of one simulated world, under injected failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 from verbenawind.standins.network import PLATFORM
 from verbenawind.standins.world import World, run_virtual
 
-FORCE_S = 5.0
+PROPAGATION_S = 5.0
 
 
 def document(pool: str = "tuning") -> EnvironmentDocument:
@@ -46,18 +46,18 @@
 
 class TestAcceptance:
     def test_in_force_everywhere_within_5_s(self) -> None:
-        """An accepted revision is in force on every daemon within 5 s, also without the table."""
+        """An accepted revision is in force on every daemon within 5 s, even without the table."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document(), Stage.PRODUCTION)
             world.table.faults.down = True
-            await asyncio.sleep(FORCE_S)
+            await asyncio.sleep(PROPAGATION_S)
             assert [revision(core) for core in cores] == [1] * len(cores)
 
         run_world(work)
 
     def test_accepting_daemon_that_dies_at_once(self) -> None:
-        """A revision whose accepting daemon crashes at once is still in force within 10 s."""
+        """A revision is in force within 10 s even if its accepting daemon crashes at once."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document(), Stage.PRODUCTION)
@@ -68,7 +68,7 @@
         run_world(work)
 
     def test_racing_operators(self) -> None:
-        """Of two racing operators one is told the other's revision and the difference."""
+        """Of two concurrent operators one gets a conflict with the other's revision and diff."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
@@ -88,7 +88,7 @@
         run_world(work)
 
     def test_lost_answer_is_resolved(self) -> None:
-        """An acceptance whose answer was lost is reported as accepted, once."""
+        """With lost responses, each revision is reported as accepted and is recorded once."""
 
         async def work(world: World, cores: list[Core]) -> None:
             world.table.faults.lose_answer_rate = 0.5
@@ -106,12 +106,12 @@
                     )
                 except StoreUnavailable:
                     await asyncio.sleep(1.0)
-            raise AssertionError("never known")
+            raise AssertionError("the outcome stayed unknown after 20 attempts")
 
         run_world(work)
 
-    def test_unheard_acceptance_is_not_called_refused(self) -> None:
-        """When the table falls silent after the effect, the operator learns that it may count."""
+    def test_acceptance_without_response_is_not_reported_as_rejected(self) -> None:
+        """If the table stops responding after a commit, its effect is reported as possible."""
 
         async def work(world: World, cores: list[Core]) -> None:
             original = world.table.commit
@@ -136,25 +136,25 @@
         run_world(work)
 
 
-class TestNeverBack:
+class TestMonotonicity:
     def test_older_revision_is_ignored(self) -> None:
-        """A daemon that holds revision 2 ignores revision 1 from the table and from peers."""
+        """A daemon that has revision 2 in force ignores revision 1."""
 
         async def work(world: World, cores: list[Core]) -> None:
             first = await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
             await cores[0].configuration.accept(document("b"), Stage.PRODUCTION)
-            await asyncio.sleep(FORCE_S)
+            await asyncio.sleep(PROPAGATION_S)
             assert not cores[3].configuration.learn(first)
             assert [revision(core) for core in cores] == [2] * len(cores)
 
         run_world(work)
 
-    def test_cut_off_zone_goes_on_and_catches_up(self) -> None:
-        """A zone cut off from all keeps its revision and takes the new one after the cut."""
+    def test_isolated_zone_keeps_its_revision_and_catches_up(self) -> None:
+        """An isolated zone keeps its revision, and gets the new one after the partition heals."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
-            await asyncio.sleep(FORCE_S)
+            await asyncio.sleep(PROPAGATION_S)
             zone = cores[0].settings.zone
             for other in [PLATFORM, *(location.zone for location in world.locations)]:
                 if other != zone:
@@ -172,7 +172,7 @@
 
 class TestFreshDaemon:
     def test_takes_the_peers_revision_while_the_platform_is_away(self) -> None:
-        """A daemon started without the platform is ready with its peers' highest revision."""
+        """A daemon started without the platform becomes ready with its peers' newest revision."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
@@ -187,7 +187,7 @@
         run_world(work)
 
     def test_does_not_wait_for_a_slow_platform(self) -> None:
-        """A daemon that starts while the table takes a minute is ready by its peers in 5 s."""
+        """A daemon that starts while the table takes a minute is ready through its peers in 5 s."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
@@ -202,7 +202,7 @@
         run_world(work)
 
     def test_stays_unready_until_it_learns(self) -> None:
-        """A daemon alone without the platform is unready until the platform returns."""
+        """A single daemon without the platform is not ready until the platform returns."""
 
         async def work(world: World, cores: list[Core]) -> None:
             assert not any(core.ready for core in cores)
@@ -223,8 +223,8 @@
 
 
 class TestStatus:
-    def test_every_daemon_tells_what_it_holds(self) -> None:
-        """Each daemon knows which revision every daemon has in force."""
+    def test_every_daemon_publishes_its_revisions(self) -> None:
+        """Each daemon knows which revision every other daemon has in force."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of leases, by produced failure, between daemons of one world on virtual time."""
+"""Tests of leases between daemons of one simulated world, under injected failures."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 async def acquire(core: Core, limit_s: float = 60.0) -> Lease:
-    """Poll as the holders do."""
+    """Poll for the lease as its users do."""
     for _ in range(int(limit_s / 0.2)):
         lease = await core.leases.acquire("work", DURATION_S)
         if lease is not None:
@@ -49,8 +49,8 @@
 
 
 class TestHolding:
-    def test_one_holder_renews_without_moving_the_guard(self) -> None:
-        """A held lease stays held for minutes by one daemon, and its guard row rests."""
+    def test_renewal_does_not_change_the_guard_row(self) -> None:
+        """One daemon holds a lease for minutes, and renewals do not change its guard row."""
 
         async def work(world: World, cores: list[Core]) -> None:
             lease = await acquire(cores[0])
@@ -63,7 +63,7 @@
         run_world(work)
 
     def test_released_lease_is_taken_soon_with_a_higher_number(self) -> None:
-        """After a release another daemon has the lease in 3 s, with a higher fencing number."""
+        """After a release another daemon gets the lease in 3 s, with a higher fencing number."""
 
         async def work(world: World, cores: list[Core]) -> None:
             first = await acquire(cores[0])
@@ -77,7 +77,7 @@
         run_world(work)
 
     def test_contenders_read_rarely(self) -> None:
-        """Two contenders that poll five times a second cost less than two reads a second."""
+        """Two contenders that poll five times a second cause less than two reads a second."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await acquire(cores[0])
@@ -102,8 +102,8 @@
 
 
 class TestLosing:
-    def test_crashed_holder_is_followed(self) -> None:
-        """After a crash another daemon has the lease within three durations."""
+    def test_crashed_holder_is_replaced(self) -> None:
+        """After a crash another daemon acquires the lease within three durations."""
 
         async def work(world: World, cores: list[Core]) -> None:
             first = await acquire(cores[0])
@@ -114,8 +114,8 @@
 
         run_world(work)
 
-    def test_paused_holder_finds_out_before_it_acts(self) -> None:
-        """A holder paused past its lease fails its check, and its guarded write is refused."""
+    def test_paused_holder_fails_its_check_and_guarded_write(self) -> None:
+        """A holder paused past its lease fails its check, and its guarded write is rejected."""
 
         async def work(world: World, cores: list[Core]) -> None:
             first = await acquire(cores[0])
@@ -134,7 +134,7 @@
         run_world(work)
 
     def test_never_two_holders(self) -> None:
-        """While the holder loses and regains the platform, no two daemons pass the check."""
+        """While holders lose and regain the platform, no two daemons hold the lease at once."""
 
         async def work(world: World, cores: list[Core]) -> None:
             held: dict[str, Lease] = {}
@@ -167,8 +167,8 @@
 
 
 class TestGuarded:
-    def test_holder_found_gone_is_replaced_at_a_missed_renewal(self) -> None:
-        """A crashed holder of a guarded lease is followed well before the lease has lapsed."""
+    def test_dead_holder_is_replaced_at_a_missed_renewal(self) -> None:
+        """A crashed holder of a guarded lease is replaced well before the lease lapses."""
 
         async def work(world: World, cores: list[Core]) -> None:
             lease = None
@@ -189,7 +189,7 @@
         run_world(work, zones=1)
 
     def test_live_holder_that_peers_cannot_reach_keeps_its_lease(self) -> None:
-        """Daemons that take each other for gone do not take a guarded lease in turn."""
+        """A live holder that peers presume dead keeps its guarded lease."""
 
         async def work(world: World, cores: list[Core]) -> None:
             lease = None
@@ -209,7 +209,7 @@
 
 class TestLostAnswers:
     def test_acquisition_without_any_answer_does_not_block(self) -> None:
-        """An acquisition that took effect unheard is made good by the same daemon in 3 s."""
+        """If an acquisition's response is lost, the same daemon acquires the lease within 3 s."""
 
         async def work(world: World, cores: list[Core]) -> None:
             original = world.table.commit
@@ -231,7 +231,7 @@
         run_world(work)
 
     def test_renewals_survive_lost_answers(self) -> None:
-        """With three answers in ten lost the holder keeps its lease for two minutes."""
+        """With 30% of the responses lost the holder keeps its lease for two minutes."""
 
         async def work(world: World, cores: list[Core]) -> None:
             lease = await acquire(cores[0])
--- a/tests/state/test_partition.py
+++ b/tests/state/test_partition.py
@@ -1,4 +1,4 @@
-"""Tests of serving while the platform is slow, or a zone is cut off from everything."""
+"""Tests of serving while the platform is slow or a zone is isolated by a partition."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,9 @@
 }
 """)
 ANSWER_S = 5.0
-READS_PER_DAEMON_S = 0.5 * 2000 / 420  # Half of the table's reads, shared by the letter's daemons.
+READS_PER_DAEMON_S = (
+    0.5 * 2000 / 420
+)  # Half of the table's 2000 reads per second, shared by 420 daemons.
 
 
 def run_world(work: Callable[[World, list[Core]], Awaitable[Any]]) -> Any:
@@ -61,7 +63,7 @@
     return events[-1]
 
 
-def cut_off(world: World, zone: str) -> None:
+def isolate(world: World, zone: str) -> None:
     for other in [PLATFORM, *(location.zone for location in world.locations)]:
         if other != zone:
             world.network.cut(zone, other)
@@ -69,7 +71,7 @@
 
 class TestSlowStore:
     def test_answers_do_not_wait_for_the_store(self) -> None:
-        """With a store of four seconds an answer, an application answer takes no longer."""
+        """Store latency of four seconds does not delay an application's answer."""
 
         async def work(world: World, cores: list[Core]) -> None:
             started_s = world.clock.monotonic_s()
@@ -84,12 +86,12 @@
         run_world(work)
 
 
-class TestCutOffZone:
-    def test_goes_on_answering(self) -> None:
-        """A zone without platform and other zones answers minutes later, and is still ready."""
+class TestIsolatedZone:
+    def test_still_answers(self) -> None:
+        """A zone isolated from the platform and other zones stays ready and answers."""
 
         async def work(world: World, cores: list[Core]) -> None:
-            cut_off(world, cores[0].settings.zone)
+            isolate(world, cores[0].settings.zone)
             await asyncio.sleep(300.0)
             assert cores[0].ready and cores[3].ready
             await answer(cores[0])
@@ -97,10 +99,10 @@
         run_world(work)
 
     def test_daemon_started_inside_serves(self) -> None:
-        """A daemon that starts in the cut-off zone becomes ready and answers."""
+        """A daemon started inside the isolated zone becomes ready and answers."""
 
         async def work(world: World, cores: list[Core]) -> None:
-            cut_off(world, cores[0].settings.zone)
+            isolate(world, cores[0].settings.zone)
             await asyncio.sleep(30.0)
             fresh = world.add_daemon("daemon-fresh", zone_index=0)
             await fresh.start()
@@ -110,11 +112,11 @@
 
         run_world(work)
 
-    def test_mends_without_a_storm(self) -> None:
-        """When the links return everybody lists everybody in 15 s, within its share of reads."""
+    def test_healed_partition_causes_no_read_storm(self) -> None:
+        """After a partition heals membership is complete in 15 s, within the read budget."""
 
         async def work(world: World, cores: list[Core]) -> None:
-            cut_off(world, cores[0].settings.zone)
+            isolate(world, cores[0].settings.zone)
             await asyncio.sleep(600.0)
             reads_before = world.table.reads
             world.network.heal()
@@ -129,7 +131,7 @@
 
 class TestMassRestart:
     def test_all_daemons_at_once(self) -> None:
-        """Killed and started all at once, the daemons meet, are ready and know what is in force."""
+        """When all daemons restart at once, they find each other and are ready within 10 s."""
 
         async def work(world: World, cores: list[Core]) -> None:
             await asyncio.gather(*(core.kill() for core in cores))
