--- a/src/verbenawind/membership/bus.py
+++ b/src/verbenawind/membership/bus.py
@@ -14,8 +14,8 @@
 from verbenawind.kernel.messages import Location
 from verbenawind.kernel.ports import Peer, PeerChannel, PeerTransport, SpreadItem
 from verbenawind.membership.calls import Calls
-from verbenawind.membership.detector import FailureDetector
-from verbenawind.membership.dialling import Dialler, Seed
+from verbenawind.membership.dialler import Dialler, Seed
+from verbenawind.membership.failure_detector import FailureDetector
 from verbenawind.membership.gossip import Gossip
 from verbenawind.membership.handshake import Identity, accept_link, open_link
 from verbenawind.membership.link import Link, Traffic
@@ -86,7 +86,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
         self._log = structlog.get_logger("membership")
-        self.refused_links = 0
+        self.rejected_links = 0
         self.traffic = Traffic()
         self.store = SpreadStore(clock)
         self.roster = Roster(self.store, clock, location, peer_id, rng.getrandbits(48), self.spread)
@@ -118,7 +118,7 @@
 
     def peers(self) -> Sequence[Peer]:
         """Return the other daemons that are believed to be alive."""
-        return self.roster.present()
+        return self.roster.live_peers()
 
     def member(self, peer_id: str) -> Member | None:
         """Return the membership record of another daemon, including one that ended recently."""
@@ -239,7 +239,7 @@
         try:
             peer = await accept_link(channel, self._key, self._identity(""))
         except (PeerUnauthenticated, PeerUnreachable) as error:
-            self.refused_links += 1
+            self.rejected_links += 1
             self._log.warning("peer_link_refused", reason=error.message, code=error.code)
             return
         if self._stopping:
@@ -272,7 +272,7 @@
 
     async def _dial_for_calls(self, peer_id: str) -> Link:
         member = self.member(peer_id)
-        if member is None or not member.present:
+        if member is None or not member.is_live:
             raise PeerUnreachable(f"peer {peer_id!r} is not a live member")
         link = await self._open(member.peer.address, _CALLS_PURPOSE)
         if link.peer.peer_id != peer_id:
@@ -302,7 +302,7 @@
         if not link.closing_gracefully:
             self._detector.link_closed(link)
             if self._clock.monotonic_s() - link.opened_at_s >= _STABLE_LINK_S:
-                self.dialler.verify(link.peer.address)
+                self.dialler.redial(link.peer.address)
 
     async def _register(self, link: Link) -> bool:
         """Keep one link to each peer; both ends keep the one dialled by the lower id."""
--- a/src/verbenawind/membership/dialling.py
+++ b/src/verbenawind/membership/dialler.py
@@ -147,11 +147,11 @@
         if not isolated and now_s < self._next_seed_dial_at_s:
             return
         self._next_seed_dial_at_s = now_s + _SEED_DIAL_PERIOD_S * self._rng.uniform(0.5, 1.5)
-        present = {peer.address for peer in self._roster.present()}
+        live_addresses = {peer.address for peer in self._roster.live_peers()}
         candidates = [
             seed
             for seed in self.seeds()
-            if seed.address != self._roster.address and seed.address not in present
+            if seed.address != self._roster.address and seed.address not in live_addresses
         ]
         own_zone = [seed for seed in candidates if seed.zone in ("", self._zone)]
         count = _MAX_PARALLEL_DIALS if isolated else 1
@@ -160,10 +160,12 @@
         for seed in [*own_zone_sample, *any_zone_sample]:
             self._dial_if_allowed(seed.address)
         if isolated:
-            for peer in self._rng.sample(self._roster.present(), min(count, len(present))):
+            for peer in self._rng.sample(
+                self._roster.live_peers(), min(count, len(live_addresses))
+            ):
                 self._dial_if_allowed(peer.address)
 
-    def verify(self, address: str) -> None:
+    def redial(self, address: str) -> None:
         """Redial a peer at once after a link that had been stable broke."""
         self._backoff_s.pop(address, None)
         self._next_attempt_at_s.pop(address, None)
--- a/src/verbenawind/membership/detector.py
+++ b/src/verbenawind/membership/failure_detector.py
@@ -79,7 +79,7 @@
     def link_closed(self, link: Link) -> None:
         """Probe the peer of a closed link through other peers."""
         member = self._roster.members().get(link.peer.peer_id)
-        if link.peer.zone != self._zone or member is None or not member.present:
+        if link.peer.zone != self._zone or member is None or not member.is_live:
             return
         if member.peer.incarnation > link.peer.incarnation:
             return
--- a/src/verbenawind/membership/watching.py
+++ b/src/verbenawind/membership/fleet_watcher.py
@@ -15,7 +15,7 @@
 from verbenawind.kernel.ports import BackendClients, HostList, SpreadItem
 from verbenawind.kernel.rendezvous import top
 from verbenawind.membership.bus import GossipBus
-from verbenawind.membership.servers import ServerDirectory
+from verbenawind.membership.server_directory import ServerDirectory
 
 __all__ = ["FleetWatcher"]
 
--- a/src/verbenawind/membership/roster.py
+++ b/src/verbenawind/membership/roster.py
@@ -47,7 +47,7 @@
     changed_at_s: float
 
     @property
-    def present(self) -> bool:
+    def is_live(self) -> bool:
         """Whether the member is believed to be alive."""
         return self.status <= MemberStatus.SUSPECT
 
@@ -121,14 +121,14 @@
         """Return the other daemons, including those that ended recently."""
         return self._members
 
-    def present(self) -> Sequence[Peer]:
+    def live_peers(self) -> Sequence[Peer]:
         """Return the other daemons that are believed to be alive."""
-        return tuple(member.peer for member in self._members.values() if member.present)
+        return tuple(member.peer for member in self._members.values() if member.is_live)
 
     def by_zone(self) -> Mapping[str, Sequence[str]]:
         """Return the ids of the other daemons believed to be alive, by zone."""
         zones: dict[str, list[str]] = {}
-        for peer in self.present():
+        for peer in self.live_peers():
             zones.setdefault(peer.location.zone, []).append(peer.peer_id)
         return zones
 
@@ -177,7 +177,7 @@
             if member.status is MemberStatus.SUSPECT and idle_s >= _SUSPICION_TIMEOUT_S:
                 if member.peer.location.zone == self._location.zone:
                     self._spread_status(member, MemberStatus.DEAD)
-            elif idle_s >= (_MEMBER_EXPIRY_S if member.present else _ENDED_RETENTION_S):
+            elif idle_s >= (_MEMBER_EXPIRY_S if member.is_live else _ENDED_RETENTION_S):
                 self._members.pop(member.peer.peer_id)
                 self._store.drop(MEMBER_KIND, member.peer.peer_id)
         if now_s - self._refreshed_at_s >= self._refresh_s and not self.superseded:
--- a/src/verbenawind/membership/servers.py
+++ b/src/verbenawind/membership/server_directory.py
@@ -22,7 +22,7 @@
 from verbenawind.kernel.ports import HostList, SpreadItem
 from verbenawind.kernel.rendezvous import top
 from verbenawind.membership.bus import GossipBus
-from verbenawind.membership.dialling import Seed
+from verbenawind.membership.dialler import Seed
 
 __all__ = ["LEAVING_KIND", "ServerDirectory"]
 
--- a/src/verbenawind/state/clients.py
+++ b/src/verbenawind/state/clients.py
@@ -7,7 +7,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import ConditionFailed, StoreUnavailable
 from verbenawind.kernel.ports import ObjectStore, Row, TableStore, Transaction, Write
-from verbenawind.state.gate import RejectedAfterLostReply, StoreCallRunner
+from verbenawind.state.store_call_runner import RejectedAfterLostReply, StoreCallRunner
 
 __all__ = ["Effect", "ObjectClient", "TableClient", "infer_effect"]
 
--- a/tests/membership/test_websocket_links.py
+++ b/tests/membership/test_websocket_links.py
@@ -43,10 +43,10 @@
 
             second.on_call("echo", echo)
             for _ in range(POLLS):
-                if first.peers() and second.peers() and first.refused_links:
+                if first.peers() and second.peers() and first.rejected_links:
                     break
                 await asyncio.sleep(LIMIT_S / POLLS)
-            assert first.refused_links > 0
+            assert first.rejected_links > 0
             assert [peer.peer_id for peer in first.peers()] == ["a-1"]
             assert await first.call("a-1", "echo", b"hello", LIMIT_S) == b"hello"
             assert unauthorized.peers() == ()
