--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -83,8 +83,8 @@
     __slots__ = (
         "_busy",
         "_clock",
-        "_feed_restored_at_s",
         "_log",
+        "_outage_ended_at_s",
         "_own",
         "_received",
         "_replaced_owners",
@@ -114,7 +114,7 @@
         # Owner ids whose host has since started another incarnation.
         self._replaced_owners: set[str] = set()
         self._version = 0
-        self._feed_restored_at_s = float("-inf")
+        self._outage_ended_at_s = float("-inf")
         self._log = structlog.get_logger("hosts")
 
     @property
@@ -146,10 +146,10 @@
         """Allow every daemon time to write a heartbeat after an outage of the table.
 
         Args:
-            silent_s: How long the feed did not respond.
+            silent_s: Seconds of feed silence beyond the expected wait.
         """
         if silent_s > _MAX_VIEW_AGE_S / 2:
-            self._feed_restored_at_s = self._clock.monotonic_s()
+            self._outage_ended_at_s = self._clock.monotonic_s()
 
     def others(self) -> Sequence[Beat]:
         """Return the latest heartbeats of the other daemons that are not leaving."""
@@ -194,9 +194,7 @@
         if received is not None and received.beat.leaving:
             return True
         now_s = self._clock.monotonic_s()
-        if now_s - self._feed_restored_at_s < (
-            _RECOVERY_GRACE_S if unanswered else _BUSY_TIMEOUT_S
-        ):
+        if now_s - self._outage_ended_at_s < (_RECOVERY_GRACE_S if unanswered else _BUSY_TIMEOUT_S):
             return False
         # Only count silence up to the feed's last response: later heartbeats may not have arrived.
         feed_current_at_s = now_s - self.view_age_s()
--- a/src/verbenawind/state/following.py
+++ b/src/verbenawind/state/following.py
@@ -43,7 +43,7 @@
         "_log",
         "_partitioned",
         "_pause_s",
-        "_restored_listeners",
+        "_response_listeners",
         "_rng",
         "_row_versions",
         "_store",
@@ -76,7 +76,7 @@
         self._row_versions: dict[RowId, int] = {}
         self._version: int | None = None
         self._last_response_at_s = clock.monotonic_s()
-        self._restored_listeners: list[Callable[[float], None]] = []
+        self._response_listeners: list[Callable[[float], None]] = []
         self._log = structlog.get_logger("feed")
         self.informed = False
 
@@ -85,8 +85,8 @@
         return self._clock.monotonic_s() - self._last_response_at_s
 
     def on_return(self, listener: Callable[[float], None]) -> None:
-        """Call *listener* at each response with the seconds of silence beyond the expected wait."""
-        self._restored_listeners.append(listener)
+        """Call *listener* at each response with the seconds of silence beyond the wait."""
+        self._response_listeners.append(listener)
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -162,5 +162,5 @@
         self._last_response_at_s = self._clock.monotonic_s()
         if silent_s > self._wait_s + _LOGGED_SILENCE_S:
             self._log.info("feed_regained", table=self._table, silent_s=round(silent_s, 2))
-        for listener in self._restored_listeners:
+        for listener in self._response_listeners:
             listener(silent_s - self._wait_s)
--- a/src/verbenawind/state/spreading.py
+++ b/src/verbenawind/state/spreading.py
@@ -18,7 +18,7 @@
 _HELD_KIND = "revision-held"
 _HELD_EXPIRY_S = 900.0
 _HELD_REFRESH_S = 300.0
-_MAX_PUBLISHING_DAEMONS = 32
+_MAX_DAEMONS_LISTED = 32
 
 
 class RevisionHeld(msgspec.Struct, frozen=True, kw_only=True):
@@ -104,7 +104,7 @@
             self._publish(name)
 
     def _publish(self, name: str) -> None:
-        if len(self._peers.peers()) >= _MAX_PUBLISHING_DAEMONS:
+        if len(self._peers.peers()) >= _MAX_DAEMONS_LISTED:
             return
         held = self._held[name]
         self._peers.spread(
