--- a/src/verbenawind/membership/gossip.py
+++ b/src/verbenawind/membership/gossip.py
@@ -138,8 +138,8 @@
         """Push the items that the peer lacks and request those missing here."""
         item_class = ItemClass(message.item_class)
         own = self._store.hashes(item_class, message.buckets or range(BUCKETS))
-        theirs = dict(message.entries)
-        missing = tuple(key for key, content in theirs.items() if own.get(key) != content)
+        remote = dict(message.entries)
+        missing = tuple(key for key, content in remote.items() if own.get(key) != content)
         if missing:
             if item_class is not ItemClass.URGENT:
                 link.eager = True
@@ -148,7 +148,7 @@
             return
         for key, content in own.items():
             item = self._store.by_hash(item_class, key)
-            if theirs.get(key) != content and item is not None:
+            if remote.get(key) != content and item is not None:
                 link.post_item(item)
 
     def on_want(self, link: Link, message: Want) -> None:
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -24,7 +24,7 @@
 # A busy daemon is presumed gone after this long without a heartbeat. The limit is shorter before
 # its first heartbeat as an owner, which is written immediately.
 _BUSY_TIMEOUT_S = 1.8
-_FIRST_BEAT_TIMEOUT_S = 1.0
+_FIRST_HEARTBEAT_TIMEOUT_S = 1.0
 # Timeout of a busy daemon whose host does not answer its peers either.
 _UNANSWERED_TIMEOUT_S = 1.0
 # After an outage of the table, live daemons write a heartbeat again within this time.
@@ -59,7 +59,7 @@
         return f"{self.host}#{self.incarnation}"
 
 
-class _ReceivedBeat:
+class _ReceivedHeartbeat:
     __slots__ = ("at_s", "beat", "version")
 
     def __init__(self, beat: Beat, version: int, at_s: float) -> None:
@@ -75,7 +75,7 @@
         store: The row store.
         own: This daemon's initial heartbeat.
         clock: Time source.
-        rng: Jitter.
+        rng: Random source for jitter.
         busy: Whether this daemon owns work.
         view_age_s: Returns the seconds since the table's feed last responded.
     """
@@ -110,7 +110,7 @@
         self._rng = rng
         self._busy = busy
         self.view_age_s = view_age_s
-        self._received: dict[str, _ReceivedBeat] = {}
+        self._received: dict[str, _ReceivedHeartbeat] = {}
         # Owner ids whose host has since started another incarnation.
         self._replaced_owners: set[str] = set()
         self._version = 0
@@ -140,7 +140,7 @@
                 self._replaced_owners.add(previous.beat.owner_id)
         if host == self._own.host:
             self._version = max(self._version, row.version)
-        self._received[host] = _ReceivedBeat(beat, row.version, self._clock.monotonic_s())
+        self._received[host] = _ReceivedHeartbeat(beat, row.version, self._clock.monotonic_s())
 
     def view_returned(self, silent_s: float) -> None:
         """Allow every daemon time to write a heartbeat after an outage of the table.
@@ -199,7 +199,7 @@
         # Only count silence up to the feed's last response: later heartbeats may not have arrived.
         feed_current_at_s = now_s - self.view_age_s()
         if received is None or received.at_s <= since_s:
-            return feed_current_at_s - since_s > _FIRST_BEAT_TIMEOUT_S
+            return feed_current_at_s - since_s > _FIRST_HEARTBEAT_TIMEOUT_S
         return feed_current_at_s - received.at_s > (
             _UNANSWERED_TIMEOUT_S if unanswered else _BUSY_TIMEOUT_S
         )
--- a/src/verbenawind/state/contention.py
+++ b/src/verbenawind/state/contention.py
@@ -175,9 +175,9 @@
             self._read_soon(observation)
 
     def _on_member(self, item: SpreadItem) -> None:
-        present = {peer.peer_id for peer in self._peers.peers()}
+        live_ids = {peer.peer_id for peer in self._peers.peers()}
         for observation in self._observations.values():
-            if observation.owner == item.key and observation.owner not in present:
+            if observation.owner == item.key and observation.owner not in live_ids:
                 self._read_soon(observation)
 
     def _read_soon(self, observation: _Observation) -> None:
