--- a/src/verbenawind/membership/roster.py
+++ b/src/verbenawind/membership/roster.py
@@ -1,4 +1,4 @@
-"""Who is a member: incarnations, suspicion, refutation and the end of a member."""
+"""The membership list: incarnations, suspicion, refutation and expiry of members."""
 
 from collections.abc import Callable, Mapping, Sequence
 from enum import IntEnum
@@ -16,14 +16,14 @@
 
 MEMBER_KIND = "member"
 _REFRESH_S = 1800.0
-_UNREFRESHED_S = 6000.0
-_ENDED_KEPT_S = 120.0
-_SUSPICION_S = 1.0
-_CONFLICTS_TOLERATED = 3
+_MEMBER_EXPIRY_S = 6000.0
+_ENDED_RETENTION_S = 120.0
+_SUSPICION_TIMEOUT_S = 1.0
+_MAX_ID_CONFLICTS = 3
 
 
 class MemberStatus(IntEnum):
-    """What is believed of a member; of one incarnation the higher status stays."""
+    """A member's believed status; within one incarnation the highest status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,43 +31,42 @@
     LEFT = 3
 
 
-class _Body(msgspec.Struct, frozen=True, array_like=True):
+class _MemberBody(msgspec.Struct, frozen=True, array_like=True):
     address: str
     zone: str
     region: str
-    boot: int
+    start_id: int
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon as this one sees it; ``changed_at_s`` is monotonic."""
+    """Another daemon as this one sees it; ``changed_at_s`` is a monotonic time."""
 
     peer: Peer
     status: MemberStatus
-    boot: int
+    start_id: int
     changed_at_s: float
 
     @property
-    def present(self) -> bool:
+    def is_live(self) -> bool:
         """Whether the member is believed to be alive."""
         return self.status <= MemberStatus.SUSPECT
 
 
 class Roster:
-    """Keeps member items in the spread store, and speaks for this daemon's own.
+    """Tracks members by their items in the spread store, and publishes this daemon's own item.
 
     Args:
-        store: Where member items are kept with the others.
+        store: The spread store that holds the member items.
         clock: Time source.
         location: Where this daemon runs.
         peer_id: This daemon's identifier.
-        boot: A number that differs with each start of a daemon.
-        spread: Merges an item here and sends it on.
+        start_id: A number that differs between starts of a daemon.
+        spread: Merges an item locally and forwards it.
     """
 
     __slots__ = (
-        "_boot",
         "_clock",
-        "_conflicts",
+        "_id_conflicts",
         "_location",
         "_log",
         "_members",
@@ -75,6 +74,7 @@
         "_refreshed_at_s",
         "_sequence",
         "_spread",
+        "_start_id",
         "_store",
         "address",
         "incarnation",
@@ -88,19 +88,19 @@
         clock: Clock,
         location: Location,
         peer_id: str,
-        boot: int,
+        start_id: int,
         spread: Callable[[SpreadItem], None],
     ) -> None:
         self._store = store
         self._clock = clock
         self._location = location
-        self._boot = boot
+        self._start_id = start_id
         self._spread = spread
         self._members: dict[str, Member] = {}
-        self._conflicts = 0
+        self._id_conflicts = 0
         self._sequence = 0
         self._refreshed_at_s = 0.0
-        self._refresh_s = _REFRESH_S * (0.75 + 0.5 * (boot % 1024) / 1024)
+        self._refresh_s = _REFRESH_S * (0.75 + 0.5 * (start_id % 1024) / 1024)
         self._log = structlog.get_logger("membership")
         self.peer_id = peer_id
         self.address = ""
@@ -108,38 +108,38 @@
         self.superseded = False
 
     def join(self, address: str) -> None:
-        """Begin an incarnation at *address*; it is above what an earlier start had."""
+        """Join at *address* with an incarnation above that of any earlier start."""
         self.address = address
         self.incarnation = int(self._clock.now().timestamp() * 1000)
-        self._publish(MemberStatus.ALIVE)
+        self._publish_own(MemberStatus.ALIVE)
 
     def leave(self) -> None:
-        """Tell that this daemon leaves."""
-        self._publish(MemberStatus.LEFT)
+        """Announce that this daemon leaves."""
+        self._publish_own(MemberStatus.LEFT)
 
     def members(self) -> Mapping[str, Member]:
-        """Return the other daemons, also those that ended lately."""
+        """Return the other daemons, including those that ended recently."""
         return self._members
 
-    def present(self) -> Sequence[Peer]:
+    def live_peers(self) -> Sequence[Peer]:
         """Return the other daemons that are believed to be alive."""
-        return tuple(member.peer for member in self._members.values() if member.present)
+        return tuple(member.peer for member in self._members.values() if member.is_live)
 
     def by_zone(self) -> Mapping[str, Sequence[str]]:
-        """Return the identifiers of the present daemons of each zone."""
+        """Return the ids of the other daemons believed to be alive, by zone."""
         zones: dict[str, list[str]] = {}
-        for peer in self.present():
+        for peer in self.live_peers():
             zones.setdefault(peer.location.zone, []).append(peer.peer_id)
         return zones
 
-    def take_in(self, item: SpreadItem) -> None:
-        """Take in a member item that the store has merged."""
+    def apply(self, item: SpreadItem) -> None:
+        """Apply a member item that the store has merged."""
         incarnation, status, _ = item.rank
-        body = msgspec.convert(cbor2.loads(item.body), type=_Body)
+        body = msgspec.convert(cbor2.loads(item.body), type=_MemberBody)
         if item.key == self.peer_id:
-            self._answer(incarnation, MemberStatus(status), body)
+            self._refute(incarnation, MemberStatus(status), body)
             return
-        known = self._members.get(item.key)
+        previous = self._members.get(item.key)
         member = Member(
             peer=Peer(
                 peer_id=item.key,
@@ -148,77 +148,77 @@
                 incarnation=incarnation,
             ),
             status=MemberStatus(status),
-            boot=body.boot,
+            start_id=body.start_id,
             changed_at_s=self._clock.monotonic_s(),
         )
         self._members[item.key] = member
-        if known is None or known.status is not member.status:
+        if previous is None or previous.status is not member.status:
             self._log.info(
                 "member_changed",
                 peer=item.key,
                 status=member.status.name.lower(),
                 incarnation=incarnation,
-                reason="first seen" if known is None else f"was {known.status.name.lower()}",
+                reason="first seen" if previous is None else f"was {previous.status.name.lower()}",
             )
 
     def suspect(self, peer_id: str, reason: str) -> None:
-        """Spread a suspicion that its subject may refute."""
+        """Spread a suspicion, which the suspected daemon may refute."""
         member = self._members.get(peer_id)
         if member is None or member.status is not MemberStatus.ALIVE:
             return
         self._log.info("member_suspected", peer=peer_id, reason=reason)
-        self._mark(member, MemberStatus.SUSPECT)
+        self._spread_status(member, MemberStatus.SUSPECT)
 
     def tick(self) -> None:
-        """End suspicions that nobody refuted, refresh the own item and forget old members."""
+        """Declare unrefuted suspects dead, refresh this daemon's item and drop old members."""
         now_s = self._clock.monotonic_s()
         for member in list(self._members.values()):
             idle_s = now_s - member.changed_at_s
-            if member.status is MemberStatus.SUSPECT and idle_s >= _SUSPICION_S:
+            if member.status is MemberStatus.SUSPECT and idle_s >= _SUSPICION_TIMEOUT_S:
                 if member.peer.location.zone == self._location.zone:
-                    self._mark(member, MemberStatus.DEAD)
-            elif idle_s >= (_UNREFRESHED_S if member.present else _ENDED_KEPT_S):
+                    self._spread_status(member, MemberStatus.DEAD)
+            elif idle_s >= (_MEMBER_EXPIRY_S if member.is_live else _ENDED_RETENTION_S):
                 self._members.pop(member.peer.peer_id)
                 self._store.drop(MEMBER_KIND, member.peer.peer_id)
         if now_s - self._refreshed_at_s >= self._refresh_s and not self.superseded:
             self._sequence += 1
-            self._publish(MemberStatus.ALIVE)
+            self._publish_own(MemberStatus.ALIVE)
 
-    def forgive(self) -> None:
-        """Restart every suspicion: this daemon was paused and could not hear refutations."""
+    def restart_suspicions(self) -> None:
+        """Restart all suspicion time-outs: this daemon was paused and received no refutations."""
         now_s = self._clock.monotonic_s()
         for peer_id, member in self._members.items():
             if member.status is MemberStatus.SUSPECT:
                 self._members[peer_id] = msgspec.structs.replace(member, changed_at_s=now_s)
 
-    def _answer(self, incarnation: int, status: MemberStatus, body: _Body) -> None:
-        ours = body.boot == self._boot
+    def _refute(self, incarnation: int, status: MemberStatus, body: _MemberBody) -> None:
+        own_start = body.start_id == self._start_id
         if incarnation < self.incarnation or self.superseded:
             return
-        if ours and status is MemberStatus.ALIVE:
+        if own_start and status is MemberStatus.ALIVE:
             return
-        if status is MemberStatus.LEFT and ours:
+        if status is MemberStatus.LEFT and own_start:
             return
-        if not ours and status is MemberStatus.ALIVE:
-            self._conflicts += 1
-            if self._conflicts > _CONFLICTS_TOLERATED and self._boot < body.boot:
+        if not own_start and status is MemberStatus.ALIVE:
+            self._id_conflicts += 1
+            if self._id_conflicts > _MAX_ID_CONFLICTS and self._start_id < body.start_id:
                 self.superseded = True
                 self._log.error(
                     "daemon_id_duplicated",
                     peer=self.peer_id,
                     other_address=body.address,
-                    reason="another running daemon has the same id and a newer start",
+                    reason="another running daemon has the same id and takes precedence",
                 )
                 return
         self._log.info(
             "own_status_refuted", status=status.name.lower(), incarnation=incarnation + 1
         )
         self.incarnation = incarnation + 1
-        self._publish(MemberStatus.ALIVE)
+        self._publish_own(MemberStatus.ALIVE)
 
-    def _publish(self, status: MemberStatus) -> None:
+    def _publish_own(self, status: MemberStatus) -> None:
         self._refreshed_at_s = self._clock.monotonic_s()
-        body = _Body(self.address, self._location.zone, self._location.region, self._boot)
+        body = _MemberBody(self.address, self._location.zone, self._location.region, self._start_id)
         self._spread(
             SpreadItem(
                 kind=MEMBER_KIND,
@@ -228,9 +228,9 @@
             )
         )
 
-    def _mark(self, member: Member, status: MemberStatus) -> None:
+    def _spread_status(self, member: Member, status: MemberStatus) -> None:
         peer = member.peer
-        body = _Body(peer.address, peer.location.zone, peer.location.region, member.boot)
+        body = _MemberBody(peer.address, peer.location.zone, peer.location.region, member.start_id)
         self._spread(
             SpreadItem(
                 kind=MEMBER_KIND,
--- a/src/verbenawind/membership/topology.py
+++ b/src/verbenawind/membership/topology.py
@@ -1,4 +1,4 @@
-"""Which peers a daemon links to: a few in its zone, and fewer between zones."""
+"""The overlay topology: a few links within each zone, and fewer between zones."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -8,36 +8,36 @@
 
 __all__ = ["bridge_targets", "zone_targets"]
 
-_SUCCESSORS = 2
+_RING_SUCCESSORS = 2
 _BRIDGES_PER_ZONE_PAIR = 2
 
 
 def zone_targets(own_id: str, zone_ids: Iterable[str]) -> Sequence[str]:
-    """Return the zone's daemons that *own_id* dials.
+    """Return the daemons of the zone that *own_id* dials.
 
-    They are its next ones on a ring in hash order, and one across the ring, which keeps the
-    longest way short.
+    They are its successors on a ring in hash order, and the opposite one, which keeps the diameter
+    of the overlay small.
     """
-    ring = sorted({*zone_ids, own_id}, key=lambda name: (_hash(name), name))
+    ring = sorted({*zone_ids, own_id}, key=lambda peer_id: (_hash(peer_id), peer_id))
     position = ring.index(own_id)
-    steps = [*range(1, _SUCCESSORS + 1), len(ring) // 2]
-    targets = [ring[(position + step) % len(ring)] for step in steps]
-    return [name for name in dict.fromkeys(targets) if name != own_id]
+    offsets = [*range(1, _RING_SUCCESSORS + 1), len(ring) // 2]
+    targets = [ring[(position + offset) % len(ring)] for offset in offsets]
+    return [peer_id for peer_id in dict.fromkeys(targets) if peer_id != own_id]
 
 
 def bridge_targets(
     own_id: str, own_zone: str, members_by_zone: Mapping[str, Sequence[str]]
 ) -> Mapping[str, str]:
-    """Return the daemon of each other zone that *own_id* dials for its zone, if any."""
+    """Return the daemon to dial in each other zone for which *own_id* bridges its own zone."""
     targets: dict[str, str] = {}
-    own = [*members_by_zone.get(own_zone, ()), own_id]
+    own_zone_ids = [*members_by_zone.get(own_zone, ()), own_id]
     for zone, members in members_by_zone.items():
         if zone == own_zone or not members:
             continue
-        bridges = top(zone, own, _BRIDGES_PER_ZONE_PAIR)
+        bridges = top(zone, own_zone_ids, _BRIDGES_PER_ZONE_PAIR)
         if own_id in bridges:
-            far = top(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
-            targets[zone] = far[bridges.index(own_id) % len(far)]
+            remote_bridges = top(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
+            targets[zone] = remote_bridges[bridges.index(own_id) % len(remote_bridges)]
     return targets
 
 
--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -1,4 +1,4 @@
-"""Environment revisions: accepted by one conditional write, never going back."""
+"""Environment revisions, accepted by one conditional write; older ones never replace newer."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -28,19 +28,19 @@
 
 _PREFIX = "config/"
 _SCAN_LIMIT = 1000
-_UNINFORMED_PERIOD_S = 2.0
+_INITIAL_PERIOD_S = 2.0
 _MIN_PERIOD_S = 5.0
 _PERIOD_PER_DAEMON_S = 0.5
 
 
 class ConfigurationStore:
-    """Holds the newest known revisions and accepts new ones; implements Configuration.
+    """Keeps the newest known revisions and accepts new ones; implements Configuration.
 
     Args:
         table: The table service's client.
         clock: Time source.
-        rng: Jitter of the polls.
-        peers: The peer bus, by which daemons tell each other of revisions.
+        rng: Random source for poll jitter.
+        peers: The peer bus over which daemons exchange revisions.
     """
 
     __slots__ = (
@@ -68,11 +68,11 @@
 
     @property
     def informed(self) -> bool:
-        """Whether the table or a peer has told what is in force."""
+        """Whether the revisions in force have been received from the table or a peer."""
         return self._informed
 
     def current(self, environment: str, stage: str) -> EnvironmentRevision | None:
-        """Return the revision in force, None when none is known."""
+        """Return the revision in force, or None if none is known."""
         return self._current.get((environment, stage))
 
     def environments(self) -> Sequence[EnvironmentRevision]:
@@ -80,19 +80,19 @@
         return tuple(self._current.values())
 
     def subscribe(self, listener: Callable[[EnvironmentRevision], None]) -> None:
-        """Call *listener* with each revision that comes into force."""
+        """Call *listener* with each revision that takes effect."""
         self._listeners.append(listener)
 
     def held(self) -> Sequence[RevisionHeld]:
-        """Return which revisions this daemon holds, and since when."""
+        """Return the revisions in force on this daemon, with the time each took effect."""
         return self._spreader.held()
 
     def learn(self, revision: EnvironmentRevision, source: str = "table") -> bool:
-        """Put a revision into force unless a newer one is known; return whether it was new."""
+        """Put a revision into force unless it or a newer one is known; return whether it is new."""
         key = (revision.environment, str(revision.stage))
         self._informed = True
-        known = self._current.get(key)
-        if known is not None and known.revision >= revision.revision:
+        previous = self._current.get(key)
+        if previous is not None and previous.revision >= revision.revision:
             return False
         self._current[key] = revision
         self._log.info(
@@ -108,21 +108,25 @@
         return True
 
     async def refresh(self) -> None:
-        """Take in what the table holds; raises StoreUnavailable."""
+        """Read the revisions in force from the table.
+
+        Raises:
+            StoreUnavailable: The table did not respond.
+        """
         prefix, after = f"{_PREFIX}head/", ""
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
             for row in rows:
-                self.learn(_decode(row))
+                self.learn(_decode_revision(row))
             if len(rows) < _SCAN_LIMIT:
                 break
             after = rows[-1].key
         self._informed = True
 
     async def run(self) -> None:
-        """Follow the table until cancelled; the more daemons there are, the rarer each asks."""
+        """Poll the table until cancelled; the period grows with the number of daemons."""
         while True:
-            await self._clock.sleep(self._period_s() * self._rng.uniform(0.75, 1.25))
+            await self._clock.sleep(self._poll_period_s() * self._rng.uniform(0.75, 1.25))
             self._spreader.tick()
             try:
                 await self.refresh()
@@ -139,16 +143,16 @@
     ) -> EnvironmentRevision:
         """Make *document* the next revision of a stage.
 
-        A repeat of an apply that was accepted, although its answer got lost, returns the accepted
+        Repeating a call that was accepted but whose response was lost returns the accepted
         revision.
 
         Raises:
-            RevisionConflict: Another revision than *expect_revision* is in force.
-            StoreUnavailable: The table gave no answer; ``effect_possible`` says whether the
-                document may have been accepted all the same.
+            RevisionConflict: The revision in force is not *expect_revision*.
+            StoreUnavailable: The table did not respond; ``effect_possible`` tells whether the
+                document may have been accepted nonetheless.
         """
         head = await self._head(document.environment, stage)
-        current = _decode(head) if head else None
+        current = _decode_revision(head) if head else None
         number = current.revision if current else 0
         digest = document_digest(document)
         if expect_revision is not None and expect_revision != number:
@@ -168,17 +172,17 @@
         try:
             await self._commit(revision, head)
         except ConditionFailed as error:
-            raise await self._overtaken(document, stage, number + 1) from error
+            raise await self._conflict_after_race(document, stage, number + 1) from error
         self.learn(revision, "the operator")
         return revision
 
     async def history(self, environment: str, stage: Stage) -> Sequence[EnvironmentRevision]:
-        """Return every accepted revision of a stage, oldest first."""
+        """Return all accepted revisions of a stage, oldest first."""
         prefix, after = f"{_PREFIX}history/{environment}/{stage}/", ""
         revisions: list[EnvironmentRevision] = []
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
-            revisions += [_decode(row) for row in rows]
+            revisions += [_decode_revision(row) for row in rows]
             if len(rows) < _SCAN_LIMIT:
                 return revisions
             after = rows[-1].key
@@ -187,20 +191,23 @@
         """Return one accepted revision.
 
         Raises:
-            UnknownEnvironment: There is no such revision.
+            UnknownEnvironment: The revision does not exist.
         """
         key = _history_key(environment, stage, number)
         row = (await self._table.read([key])).get(key)
         if row is None:
             raise UnknownEnvironment(f"{environment}/{stage} has no revision {number}")
-        return _decode(row)
+        return _decode_revision(row)
 
     async def _head(self, environment: str, stage: Stage) -> Row | None:
         key = _head_key(environment, stage)
         return (await self._table.read([key])).get(key)
 
     async def _commit(self, revision: EnvironmentRevision, head: Row | None) -> None:
-        """Write head and history; the history row is written once, so it settles lost answers."""
+        """Write the head and history rows.
+
+        The history row is written only once, so it resolves a lost response.
+        """
         value = msgspec.json.encode(revision)
         environment, stage = revision.environment, revision.stage
         writes = (
@@ -217,7 +224,7 @@
         )
         await self._table.commit(Transaction(operation_id=new_id("op"), writes=writes))
 
-    async def _overtaken(
+    async def _conflict_after_race(
         self, document: EnvironmentDocument, stage: Stage, number: int
     ) -> RevisionConflict:
         try:
@@ -228,7 +235,7 @@
                 "operator first",
                 current_revision=number,
             )
-        return self._conflict(document, stage, _decode(head) if head else None)
+        return self._conflict(document, stage, _decode_revision(head) if head else None)
 
     def _conflict(
         self, document: EnvironmentDocument, stage: Stage, current: EnvironmentRevision | None
@@ -244,9 +251,9 @@
             difference="\n".join(str(change) for change in changes),
         )
 
-    def _period_s(self) -> float:
+    def _poll_period_s(self) -> float:
         if not self._informed:
-            return _UNINFORMED_PERIOD_S
+            return _INITIAL_PERIOD_S
         return max(_MIN_PERIOD_S, _PERIOD_PER_DAEMON_S * (len(self._peers.peers()) + 1))
 
 
@@ -258,5 +265,5 @@
     return f"{_PREFIX}history/{environment}/{stage}/{number:010}"
 
 
-def _decode(row: Row) -> EnvironmentRevision:
+def _decode_revision(row: Row) -> EnvironmentRevision:
     return msgspec.json.decode(row.value, type=EnvironmentRevision)
