--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -11,7 +11,7 @@
 import structlog
 
 from verbenawind.clock import Clock
-from verbenawind.state.beats import Beat, HostBeats
+from verbenawind.state.beats import Beat, HostHeartbeats
 
 __all__ = ["OwnerMonitor", "PeerProbe", "ProbeResult"]
 
@@ -63,7 +63,7 @@
         "_unanswered",
     )
 
-    def __init__(self, beats: HostBeats, probe: PeerProbe, clock: Clock) -> None:
+    def __init__(self, beats: HostHeartbeats, probe: PeerProbe, clock: Clock) -> None:
         self._beats = beats
         self._probe = probe
         self._clock = clock
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -12,7 +12,7 @@
 from verbenawind.batches.types import BatchSubmission, JobRecord, JobState, ResultsPage
 from verbenawind.clock import Clock
 from verbenawind.errors import Outcome, StoreUnavailable, UnknownResource
-from verbenawind.state.beats import HostBeats
+from verbenawind.state.beats import HostHeartbeats
 
 __all__ = ["BatchJobs"]
 
@@ -55,7 +55,7 @@
         job_store: JobStore,
         job_registry: JobRegistry,
         runner: BatchRunner,
-        beats: HostBeats,
+        beats: HostHeartbeats,
         store_ms: Callable[[], int],
         clock: Clock,
     ) -> None:
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -13,7 +13,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.kernel.rendezvous import top
-from verbenawind.state.beats import HostBeats, host_of
+from verbenawind.state.beats import HostHeartbeats, host_of
 
 __all__ = ["JobTakeover", "claim_delay_s"]
 
@@ -63,7 +63,7 @@
         job_registry: JobRegistry,
         job_store: JobStore,
         runner: BatchRunner,
-        beats: HostBeats,
+        beats: HostHeartbeats,
         owner_monitor: OwnerMonitor,
         clock: Clock,
     ) -> None:
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -39,7 +39,7 @@
 from verbenawind.kernel.messages import Location, Value
 from verbenawind.kernel.rendezvous import top
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow
-from verbenawind.state.beats import HOSTS_TABLE, Beat, HostBeats
+from verbenawind.state.beats import HOSTS_TABLE, Beat, HostHeartbeats
 from verbenawind.state.following import FEED_PAUSE_S, FEED_WAIT_S, TableFollower
 from verbenawind.state.row_lease import RowLease
 from verbenawind.supervision import supervise
@@ -176,7 +176,7 @@
             timings=timings,
             clock=clock,
         )
-        self.beats = HostBeats(
+        self.beats = HostHeartbeats(
             store,
             beat,
             clock=clock,
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -15,7 +15,7 @@
 from verbenawind.kernel.messages import Location, Value
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement
 
-__all__ = ["HOSTS_TABLE", "Beat", "HostBeats", "host_of"]
+__all__ = ["HOSTS_TABLE", "Beat", "HostHeartbeats", "host_of"]
 
 HOSTS_TABLE = "hosts"
 _BUSY_PERIOD_S = 0.5
@@ -68,7 +68,7 @@
         self.at_s = at_s
 
 
-class HostBeats:
+class HostHeartbeats:
     """Writes this daemon's heartbeats and monitors those of the others.
 
     Args:
