--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -11,7 +11,7 @@
 import structlog
 
 from verbenawind.clock import Clock
-from verbenawind.state.beats import Beat, HostHeartbeats
+from verbenawind.state.beats import HostHeartbeat, HostHeartbeats
 
 __all__ = ["OwnerMonitor", "PeerProbe", "ProbeResult"]
 
@@ -87,11 +87,11 @@
         unanswered = self._clock.monotonic_s() - probed_at_s < _UNANSWERED_TTL_S
         return self._beats.is_gone(owner_id, since_s, unanswered=unanswered)
 
-    def last_beat_if_silent(self, owner_id: str, since_s: float) -> Beat | None:
+    def last_beat_if_silent(self, owner_id: str, since_s: float) -> HostHeartbeat | None:
         """Return the last heartbeat of an owner that should be probed, None if it is not silent."""
         return self._beats.silent_owner(owner_id, since_s, _PROBE_AFTER_S)
 
-    def start_probe(self, beat: Beat) -> None:
+    def start_probe(self, beat: HostHeartbeat) -> None:
         """Probe the host of a silent owner, unless it was probed very recently."""
         now_s = self._clock.monotonic_s()
         if now_s - self._probed_at_s.get(beat.host, float("-inf")) < _PROBE_PERIOD_S:
@@ -101,7 +101,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _probe_owner(self, beat: Beat) -> None:
+    async def _probe_owner(self, beat: HostHeartbeat) -> None:
         answer = await self._probe.connect(beat.address)
         now_s = self._clock.monotonic_s()
         self._unanswered = {
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -39,7 +39,7 @@
 from verbenawind.kernel.messages import Location, Value
 from verbenawind.kernel.rendezvous import top
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow
-from verbenawind.state.beats import HOSTS_TABLE, Beat, HostHeartbeats
+from verbenawind.state.beats import HOSTS_TABLE, HostHeartbeat, HostHeartbeats
 from verbenawind.state.following import FEED_PAUSE_S, FEED_WAIT_S, TableFollower
 from verbenawind.state.row_lease import RowLease
 from verbenawind.supervision import supervise
@@ -153,7 +153,7 @@
 
         self.directory = Directory(clock)
         self.servers_feed.on_return(self.directory.feed_returned)
-        beat = Beat(
+        beat = HostHeartbeat(
             host=settings.host,
             incarnation=new_id("run").removeprefix("run-"),
             address=settings.peer_address,
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -15,7 +15,7 @@
 from verbenawind.kernel.messages import Location, Value
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement
 
-__all__ = ["HOSTS_TABLE", "Beat", "HostHeartbeats", "host_of"]
+__all__ = ["HOSTS_TABLE", "HostHeartbeat", "HostHeartbeats", "host_of"]
 
 HOSTS_TABLE = "hosts"
 _BUSY_PERIOD_S = 0.5
@@ -43,7 +43,7 @@
     return owner_id.partition("#")[0]
 
 
-class Beat(Value, frozen=True, kw_only=True):
+class HostHeartbeat(Value, frozen=True, kw_only=True):
     """A daemon's heartbeat row; ``incarnation`` distinguishes successive processes of one host."""
 
     host: str
@@ -62,7 +62,7 @@
 class _ReceivedHeartbeat:
     __slots__ = ("at_s", "beat", "version")
 
-    def __init__(self, beat: Beat, version: int, at_s: float) -> None:
+    def __init__(self, beat: HostHeartbeat, version: int, at_s: float) -> None:
         self.beat = beat
         self.version = version
         self.at_s = at_s
@@ -97,7 +97,7 @@
     def __init__(
         self,
         store: RowStore,
-        own: Beat,
+        own: HostHeartbeat,
         *,
         clock: Clock,
         rng: Random,
@@ -118,7 +118,7 @@
         self._log = structlog.get_logger("hosts")
 
     @property
-    def own(self) -> Beat:
+    def own(self) -> HostHeartbeat:
         """This daemon's latest heartbeat."""
         return self._own
 
@@ -129,7 +129,7 @@
             self._received.pop(host, None)
             return
         try:
-            beat = msgspec.json.decode(row.value, type=Beat)
+            beat = msgspec.json.decode(row.value, type=HostHeartbeat)
         except msgspec.MsgspecError as error:
             self._log.warning("beat_unreadable", peer=host, error=str(error))
             return
@@ -151,7 +151,7 @@
         if silent_s > _MAX_VIEW_AGE_S / 2:
             self._outage_ended_at_s = self._clock.monotonic_s()
 
-    def others(self) -> Sequence[Beat]:
+    def others(self) -> Sequence[HostHeartbeat]:
         """Return the latest heartbeats of the other daemons that are not leaving."""
         return [
             received.beat
@@ -164,7 +164,7 @@
         """Whether the view of the table is recent enough to judge other daemons by."""
         return self.view_age_s() <= _MAX_VIEW_AGE_S
 
-    def neighbours(self) -> Sequence[Beat]:
+    def neighbours(self) -> Sequence[HostHeartbeat]:
         """Return the other daemons of this availability zone with a recent heartbeat."""
         now_s = self._clock.monotonic_s()
         return [
@@ -204,7 +204,7 @@
             _UNANSWERED_TIMEOUT_S if unanswered else _BUSY_TIMEOUT_S
         )
 
-    def silent_owner(self, owner_id: str, since_s: float, silence_s: float) -> Beat | None:
+    def silent_owner(self, owner_id: str, since_s: float, silence_s: float) -> HostHeartbeat | None:
         """Return the last heartbeat of an owner silent for more than *silence_s*, else None.
 
         Unlike ``is_gone`` this also counts time during which the table was unreachable, so the
