--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -86,7 +86,7 @@
         placement = place_job(
             f"{submission.host}/{submission.model}",
             self._runner.owner,
-            [beat.owner_id for beat in self._beats.neighbours()],
+            [beat.owner_id for beat in self._beats.live_zone_peers()],
             stopping=self._runner.stopping,
             view_is_fresh=self._beats.view_is_fresh,
         )
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -164,7 +164,7 @@
         """Whether the view of the table is recent enough to judge other daemons by."""
         return self.view_age_s() <= _MAX_VIEW_AGE_S
 
-    def neighbours(self) -> Sequence[HostHeartbeat]:
+    def live_zone_peers(self) -> Sequence[HostHeartbeat]:
         """Return the other daemons of this availability zone with a recent heartbeat."""
         now_s = self._clock.monotonic_s()
         return [
