--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -152,7 +152,7 @@
         )
 
         self.directory = Directory(clock)
-        self.servers_feed.on_return(self.directory.feed_returned)
+        self.servers_feed.on_response(self.directory.feed_returned)
         beat = HostHeartbeat(
             host=settings.host,
             incarnation=new_id("run").removeprefix("run-"),
@@ -184,7 +184,7 @@
             busy=lambda: self.runner.busy,
             view_age_s=self.hosts_feed.age_s,
         )
-        self.hosts_feed.on_return(self.beats.view_returned)
+        self.hosts_feed.on_response(self.beats.view_returned)
         owner_monitor = OwnerMonitor(self.beats, probe, clock)
         self.job_takeover = JobTakeover(
             self.job_registry, job_store, self.runner, self.beats, owner_monitor, clock
--- a/src/verbenawind/state/following.py
+++ b/src/verbenawind/state/following.py
@@ -84,7 +84,7 @@
         """Return the seconds since the store last responded for this table."""
         return self._clock.monotonic_s() - self._last_response_at_s
 
-    def on_return(self, listener: Callable[[float], None]) -> None:
+    def on_response(self, listener: Callable[[float], None]) -> None:
         """Call *listener* at each response with the seconds of silence beyond the wait."""
         self._response_listeners.append(listener)
 
