--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -184,7 +184,7 @@
             busy=lambda: self.runner.busy,
             view_age_s=self.hosts_feed.age_s,
         )
-        self.hosts_feed.on_response(self.beats.view_returned)
+        self.hosts_feed.on_response(self.beats.on_feed_response)
         owner_monitor = OwnerMonitor(self.beats, probe, clock)
         self.job_takeover = JobTakeover(
             self.job_registry, job_store, self.runner, self.beats, owner_monitor, clock
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -142,7 +142,7 @@
             self._version = max(self._version, row.version)
         self._received[host] = _ReceivedHeartbeat(beat, row.version, self._clock.monotonic_s())
 
-    def view_returned(self, silent_s: float) -> None:
+    def on_feed_response(self, silent_s: float) -> None:
         """Allow every daemon time to write a heartbeat after an outage of the table.
 
         Args:
