--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -338,9 +338,9 @@
 
     def _take_host_row(self, row: StoredRow) -> None:
         if row.row_id.key == _LEASE_KEY:
-            self.lease.take(row)
+            self.lease.apply_row(row)
         else:
-            self.beats.take(row)
+            self.beats.apply_row(row)
 
     def _take_job_row(self, row: StoredRow) -> None:
         self.job_registry.apply_row(row)
--- a/src/verbenawind/state/beats.py
+++ b/src/verbenawind/state/beats.py
@@ -122,7 +122,7 @@
         """This daemon's latest heartbeat."""
         return self._own
 
-    def take(self, row: StoredRow) -> None:
+    def apply_row(self, row: StoredRow) -> None:
         """Apply a row of the table from the change feed."""
         host = row.row_id.key
         if row.value is None:
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -159,7 +159,7 @@
         written = self._held is not None and self._held.acted_ms >= self._acted_ms
         return written and within_announcement and self.may_act(act_s)
 
-    def take(self, row: StoredRow) -> None:
+    def apply_row(self, row: StoredRow) -> None:
         """Apply the lease's row from the change feed."""
         if row.value is None or row.version <= self._version:
             return
