--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -11,7 +11,7 @@
 import structlog
 
 from verbenawind.clock import Clock
-from verbenawind.state.beats import HostHeartbeat, HostHeartbeats
+from verbenawind.state.heartbeats import HostHeartbeat, HostHeartbeats
 
 __all__ = ["OwnerMonitor", "PeerProbe", "ProbeResult"]
 
--- a/src/verbenawind/batches/placement.py
+++ b/src/verbenawind/batches/placement.py
@@ -9,7 +9,7 @@
 
 from verbenawind.kernel.messages import Value
 from verbenawind.kernel.rendezvous import owner
-from verbenawind.state.beats import host_of
+from verbenawind.state.heartbeats import host_of
 
 __all__ = ["JobPlacement", "place_job"]
 
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -12,7 +12,7 @@
 from verbenawind.batches.types import BatchSubmission, JobRecord, JobState, ResultsPage
 from verbenawind.clock import Clock
 from verbenawind.errors import Outcome, StoreUnavailable, UnknownResource
-from verbenawind.state.beats import HostHeartbeats
+from verbenawind.state.heartbeats import HostHeartbeats
 
 __all__ = ["BatchJobs"]
 
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -13,7 +13,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.kernel.rendezvous import top
-from verbenawind.state.beats import HostHeartbeats, host_of
+from verbenawind.state.heartbeats import HostHeartbeats, host_of
 
 __all__ = ["JobTakeover", "claim_delay_s"]
 
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -16,7 +16,7 @@
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.kernel.messages import Value
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement
-from verbenawind.state.beats import host_of
+from verbenawind.state.heartbeats import host_of
 
 __all__ = ["RowLease"]
 
--- a/tests/node/fleet.py
+++ b/tests/node/fleet.py
@@ -34,7 +34,7 @@
 from verbenawind.standins.opaque_engines import OpaqueEngine, OpaqueEngines, text_of
 from verbenawind.standins.row_store import MemoryRowStore, StoreView
 from verbenawind.standins.world import run_virtual
-from verbenawind.state.beats import host_of
+from verbenawind.state.heartbeats import host_of
 from verbenawind.timings import Timing
 
 HOST = "rollouts.example"
--- a/tests/state/test_beats.py
+++ b/tests/state/test_beats.py
@@ -2,7 +2,7 @@
 
 from node.fleet import Fleet, run_fleet
 from verbenawind.kernel.row_ports import RowId
-from verbenawind.state.beats import HOSTS_TABLE
+from verbenawind.state.heartbeats import HOSTS_TABLE
 
 
 class TestSilence:
