--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -39,9 +39,9 @@
 from verbenawind.kernel.messages import Location, Value
 from verbenawind.kernel.rendezvous import top
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow
-from verbenawind.state.following import FEED_PAUSE_S, FEED_WAIT_S, TableFollower
 from verbenawind.state.heartbeats import HOSTS_TABLE, HostHeartbeat, HostHeartbeats
 from verbenawind.state.row_lease import RowLease
+from verbenawind.state.table_follower import FEED_PAUSE_S, FEED_WAIT_S, TableFollower
 from verbenawind.supervision import supervise
 from verbenawind.timings import Timings
 from verbenawind.weights.desk import OrderDesk, OrderPort
