--- a/src/verbenawind/api/holders.py
+++ b/src/verbenawind/api/holders.py
@@ -9,7 +9,7 @@
 from verbenawind.api.services import ApiServices
 from verbenawind.document import EnvironmentRevision
 from verbenawind.errors import PeerUnreachable
-from verbenawind.state.spreading import HELD_CALL, RevisionHeld
+from verbenawind.state.revision_spreader import HELD_CALL, RevisionHeld
 
 __all__ = ["Holders", "find_holders"]
 
--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -22,7 +22,7 @@
 )
 from verbenawind.ids import new_id
 from verbenawind.kernel.ports import PeerBus, Row, TableStore, Transaction, Write
-from verbenawind.state.spreading import RevisionHeld, RevisionSpreader
+from verbenawind.state.revision_spreader import RevisionHeld, RevisionSpreader
 
 __all__ = ["ConfigurationStore"]
 
--- a/tests/api/test_explain.py
+++ b/tests/api/test_explain.py
@@ -20,7 +20,7 @@
 from verbenawind.settings import DaemonSettings
 from verbenawind.standins.network import Process
 from verbenawind.standins.world import World
-from verbenawind.state import spreading
+from verbenawind.state import revision_spreader
 
 POLLS = 500
 
@@ -93,7 +93,7 @@
 
         A drain at one takes effect at the other.
         """
-        monkeypatch.setattr(spreading, "_MAX_DAEMONS_LISTED", daemons_listed)
+        monkeypatch.setattr(revision_spreader, "_MAX_DAEMONS_LISTED", daemons_listed)
 
         async def scenario() -> None:
             world = World()
