--- a/src/verbenawind/weights/failures.py
+++ b/src/verbenawind/weights/failures.py
@@ -1,4 +1,4 @@
-"""Remembers failed orders: back-off, and engines that are set aside."""
+"""Tracks failed orders: back-off, and engines that are set aside."""
 
 from random import Random
 
@@ -13,11 +13,14 @@
 
 
 class OrderFailures:
-    """Failed orders of one shard, by engine, incarnation and model.
+    """Consecutive failed orders of one shard, by engine, incarnation and model.
+
+    After repeated failures an engine is set aside: it is retried rarely and no longer holds back
+    the other engines of its pool.
 
     Args:
-        clock: Gives monotonic time.
-        rng: Jitter of the back-off.
+        clock: Time source.
+        rng: Source of the back-off jitter.
     """
 
     __slots__ = ("_clock", "_failures", "_rng")
@@ -28,7 +31,7 @@
         self._failures: dict[tuple[str, int, str], tuple[int, float]] = {}
 
     def failed(self, server_id: str, incarnation: int, model: str) -> bool:
-        """Record a failed order and return whether the engine is set aside from now on."""
+        """Record a failed order and return whether the engine is now set aside."""
         key = (server_id, incarnation, model)
         count = self._failures.get(key, (0, 0.0))[0] + 1
         backoff_s = min(_MAX_BACKOFF_S, _BACKOFF_S * 2 ** (count - 1))
@@ -38,17 +41,17 @@
         return count >= _SET_ASIDE_AFTER
 
     def succeeded(self, server_id: str, incarnation: int, model: str) -> None:
-        """Forget an engine's failures."""
+        """Reset the failures of an engine after a successful order."""
         self._failures.pop((server_id, incarnation, model), None)
 
     def retry_at_s(self, server_id: str, incarnation: int, model: str) -> float:
-        """Return the monotonic time in seconds before which no order is repeated."""
+        """Return the monotonic time in seconds before which no order is retried."""
         return self._failures.get((server_id, incarnation, model), (0, 0.0))[1]
 
     def is_set_aside(self, server_id: str, incarnation: int, model: str) -> bool:
-        """Return whether the engine has failed too often to hold up others."""
+        """Return whether the engine is set aside after repeated failures."""
         return self._failures.get((server_id, incarnation, model), (0, 0.0))[0] >= _SET_ASIDE_AFTER
 
-    def keep_only(self, servers: set[tuple[str, int]]) -> None:
-        """Forget every incarnation that is not among *servers*."""
+    def retain(self, servers: set[tuple[str, int]]) -> None:
+        """Drop the state of every incarnation that is not in *servers*."""
         self._failures = {key: value for key, value in self._failures.items() if key[:2] in servers}
--- a/src/verbenawind/weights/shard_holder.py
+++ b/src/verbenawind/weights/shard_holder.py
@@ -17,7 +17,7 @@
 from verbenawind.weights.failures import OrderFailures
 from verbenawind.weights.plan import EngineState, Target, next_order
 from verbenawind.weights.shards import shard_of
-from verbenawind.weights.turns import TurnBook
+from verbenawind.weights.swap_queue import SwapQueue
 
 __all__ = ["ShardHolder"]
 
@@ -45,7 +45,7 @@
         "_log",
         "_orders",
         "_settled_at_s",
-        "_turns",
+        "_swap_queue",
         "_verified",
         "budget",
         "lease",
@@ -75,7 +75,7 @@
         self._verified: set[tuple[str, int]] = set()
         self._orders: dict[str, asyncio.Task[None]] = {}
         self._last_ordered_s: dict[tuple[str, str], float] = {}
-        self._turns = TurnBook()
+        self._swap_queue = SwapQueue()
         self._log = structlog.get_logger("weights")
 
     @property
@@ -96,15 +96,15 @@
         self._forget_gone()
         for target in self._fairly(targets):
             pool = [self._state(view, target) for view in self._pool_views(target)]
-            turn = self._in_turn(target, pool, limits[target.pool])
+            admitted = self._admitted(target, pool, limits[target.pool])
             for state in pool:
                 if shard_of(state.server_id) == self.shard and state.server_id not in self._orders:
-                    self._consider(target, state, state.server_id in turn, checks_fencing)
+                    self._consider(target, state, state.server_id in admitted, checks_fencing)
 
-    def _in_turn(self, target: Target, pool: Sequence[EngineState], limit: int) -> frozenset[str]:
+    def _admitted(self, target: Target, pool: Sequence[EngineState], limit: int) -> frozenset[str]:
         if self._clock.now().timestamp() < target.activate_at_s:
             return frozenset()
-        return self._turns.in_turn(target, pool, limit, self._clock.monotonic_s())
+        return self._swap_queue.admit(target, pool, limit, self._clock.monotonic_s())
 
     async def stop(self) -> None:
         """Wait for the orders in flight."""
@@ -116,7 +116,7 @@
             task.cancel()
 
     def _consider(
-        self, target: Target, state: EngineState, in_turn: bool, checks_fencing: dict[str, bool]
+        self, target: Target, state: EngineState, may_swap: bool, checks_fencing: dict[str, bool]
     ) -> None:
         view = self._fleet.view(state.server_id)
         if view is None or view.server.location.zone != self._fleet.location.zone:
@@ -127,7 +127,7 @@
         decision = next_order(
             target,
             state,
-            in_turn=in_turn,
+            may_swap=may_swap,
             now_s=now_s,
             now_unix_s=self._clock.now().timestamp(),
         )
@@ -247,11 +247,11 @@
         known = {(view.server.server_id, view.server.incarnation) for view in self._fleet.all()}
         names = {server_id for server_id, _ in known}
         self._verified &= known
-        self._failures.keep_only(known)
+        self._failures.retain(known)
         self._last_ordered_s = {
             key: at_s for key, at_s in self._last_ordered_s.items() if key[0] in names
         }
-        self._turns.keep_only(names)
+        self._swap_queue.retain(names)
 
     def _finished(self, server_id: str, _: asyncio.Task[None]) -> None:
         self._orders.pop(server_id, None)
--- a/tests/weights/test_plan.py
+++ b/tests/weights/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions about orders for new weights."""
+"""Tests of the planning of weight orders."""
 
 from verbenawind.document import parse_document
 from verbenawind.kernel.messages import OrderKind, SwapState
@@ -9,7 +9,7 @@
     next_order,
     swap_limit,
 )
-from verbenawind.weights.turns import TurnBook
+from verbenawind.weights.swap_queue import SwapQueue
 
 NOW_S = 100.0
 TARGET = Target(
@@ -46,66 +46,66 @@
     )
 
 
-def decide(state: EngineState, *, in_turn: bool = True, now_unix_s: float = 60.0) -> OrderDecision:
-    return next_order(TARGET, state, in_turn=in_turn, now_s=NOW_S, now_unix_s=now_unix_s)
+def decide(state: EngineState, *, may_swap: bool = True, now_unix_s: float = 60.0) -> OrderDecision:
+    return next_order(TARGET, state, may_swap=may_swap, now_s=NOW_S, now_unix_s=now_unix_s)
 
 
 class TestNextOrder:
     def test_version_is_staged_before_it_is_activated(self) -> None:
-        """An engine that is behind is first told to stage, then to activate."""
+        """An engine that is behind is ordered to stage first, then to activate."""
         assert decide(engine()).kind is OrderKind.STAGE
         assert decide(engine(staged=(3,))).kind is OrderKind.ACTIVATE
 
-    def test_newer_engine_is_left_alone(self) -> None:
-        """An engine at the target or beyond gets no order."""
+    def test_up_to_date_engine_gets_no_order(self) -> None:
+        """An engine at the target version or a newer one gets no order."""
         assert decide(engine(active=3)).kind is None
         assert decide(engine(active=4)).kind is None
 
-    def test_activation_waits_for_its_time_and_turn(self) -> None:
-        """Staged weights wait for the activation time and the pool's turn."""
+    def test_activation_waits_for_its_time_and_the_swap_limit(self) -> None:
+        """Staged weights are not activated before their time or beyond the pool's swap limit."""
         assert decide(engine(staged=(3,)), now_unix_s=49.0).kind is None
-        assert decide(engine(staged=(3,)), in_turn=False).kind is None
+        assert decide(engine(staged=(3,)), may_swap=False).kind is None
 
-    def test_failed_swap_is_repaired_out_of_turn(self) -> None:
-        """An engine without a definite version is repaired even when it is not in turn."""
+    def test_failed_swap_is_repaired_beyond_the_swap_limit(self) -> None:
+        """An engine whose active version is unknown is repaired even beyond the swap limit."""
         failed = engine(active=None, state=SwapState.FAILED)
-        assert decide(failed, in_turn=False).kind is OrderKind.ACTIVATE
+        assert decide(failed, may_swap=False).kind is OrderKind.ACTIVATE
 
-    def test_failed_order_is_not_repeated_before_its_time(self) -> None:
-        """An engine whose order failed gets none until its retry time."""
+    def test_failed_order_is_not_retried_during_back_off(self) -> None:
+        """An engine whose order failed gets no order before its retry time."""
         assert decide(engine(retry_at_s=NOW_S + 1)).kind is None
 
 
-class TestTurnBook:
-    def test_only_the_first_engines_behind_are_in_turn(self) -> None:
-        """Of the engines that are behind, as many as the limit are in turn."""
+class TestSwapQueue:
+    def test_admits_only_as_many_engines_as_the_limit(self) -> None:
+        """The first engines by name that are behind are admitted, up to the limit."""
         pool = [engine("c"), engine("a", active=3), engine("b"), engine("d")]
-        assert TurnBook().in_turn(TARGET, pool, 1, NOW_S) == {"b"}
-        assert TurnBook().in_turn(TARGET, pool, 2, NOW_S) == {"b", "c"}
+        assert SwapQueue().admit(TARGET, pool, 1, NOW_S) == {"b"}
+        assert SwapQueue().admit(TARGET, pool, 2, NOW_S) == {"b", "c"}
 
-    def test_broken_engines_do_not_hold_up_others(self) -> None:
-        """Engines that were set aside or are not usable get no turn."""
+    def test_failing_engines_do_not_block_others(self) -> None:
+        """Engines that are set aside or not usable are not admitted."""
         pool = [engine("a", set_aside=True), engine("b", usable=False), engine("c")]
-        assert TurnBook().in_turn(TARGET, pool, 1, NOW_S) == {"c"}
-
-    def test_engine_that_misses_its_turn_goes_to_the_end(self) -> None:
-        """An engine that stays behind for several order timeouts lets the next one swap."""
-        book, pool = TurnBook(), [engine("a"), engine("b")]
-        assert book.in_turn(TARGET, pool, 1, NOW_S) == {"a"}
-        assert book.in_turn(TARGET, pool, 1, NOW_S + 14.0) == {"a"}
-        book.in_turn(TARGET, pool, 1, NOW_S + 16.0)
-        assert book.in_turn(TARGET, pool, 1, NOW_S + 16.2) == {"b"}
-
-    def test_limit_holds_however_long_engines_are_behind(self) -> None:
-        """No passage of time puts more engines in turn than the limit."""
-        book, pool = TurnBook(), [engine(name) for name in "abcd"]
+        assert SwapQueue().admit(TARGET, pool, 1, NOW_S) == {"c"}
+
+    def test_engine_that_times_out_is_moved_to_the_end(self) -> None:
+        """An engine that stays behind for several order timeouts makes way for the next one."""
+        queue, pool = SwapQueue(), [engine("a"), engine("b")]
+        assert queue.admit(TARGET, pool, 1, NOW_S) == {"a"}
+        assert queue.admit(TARGET, pool, 1, NOW_S + 14.0) == {"a"}
+        queue.admit(TARGET, pool, 1, NOW_S + 16.0)
+        assert queue.admit(TARGET, pool, 1, NOW_S + 16.2) == {"b"}
+
+    def test_limit_holds_over_time(self) -> None:
+        """Timeouts never cause more engines to be admitted than the limit."""
+        queue, pool = SwapQueue(), [engine(name) for name in "abcd"]
         for step in range(200):
-            assert len(book.in_turn(TARGET, pool, 2, NOW_S + step)) == 2
+            assert len(queue.admit(TARGET, pool, 2, NOW_S + step)) == 2
 
 
 class TestSwapLimit:
     def test_application_pool_never_swaps_more_than_half(self) -> None:
-        """A pool that applications use keeps half of its engines, whatever the document says."""
+        """A pool that serves applications swaps at most half of its engines at once."""
         document = parse_document("""
             {
               "environment": "e",
