--- a/src/verbenawind/weights/__init__.py
+++ b/src/verbenawind/weights/__init__.py
@@ -1,4 +1,4 @@
-"""New weights: which engine gets which version when, and the orders that bring them there."""
+"""Weight updates: decides which engine loads which version when, and gives the orders."""
 
 from verbenawind.weights.controller import WeightsController
 
--- a/src/verbenawind/weights/budget.py
+++ b/src/verbenawind/weights/budget.py
@@ -1,4 +1,4 @@
-"""Bounds the bytes that staging takes from the weight store."""
+"""Limits the rate at which staging reads from the weight store."""
 
 from verbenawind.clock import Clock
 
@@ -6,11 +6,11 @@
 
 
 class StagingBudget:
-    """A token bucket of bytes; one staging may always start when the bucket is full.
+    """A token bucket of bytes. When it is full, one staging of any size may start.
 
     Args:
-        clock: Gives monotonic time.
-        burst_s: Seconds of the rate that may be saved up.
+        clock: Time source.
+        burst_s: Capacity of the bucket, in seconds at the current rate.
     """
 
     __slots__ = ("_available_bytes", "_burst_s", "_clock", "_rate_bytes_per_s", "_updated_at_s")
@@ -23,17 +23,17 @@
         self._updated_at_s = clock.monotonic_s()
 
     def set_rate(self, rate_bytes_per_s: float) -> None:
-        """Change the rate, in bytes a second; a first rate fills the bucket."""
+        """Set the rate in bytes per second. The first call fills the bucket."""
         if self._rate_bytes_per_s == 0.0:
             self._available_bytes = rate_bytes_per_s * self._burst_s
         self._refill()
         self._rate_bytes_per_s = rate_bytes_per_s
 
     def take(self, size_bytes: int) -> bool:
-        """Take *size_bytes* if the bucket allows it, and return whether it did.
+        """Take *size_bytes* if the bucket allows it, and return whether it was taken.
 
-        A staging larger than the bucket is let through when the bucket is full and leaves it in
-        debt, so that the mean rate holds for any size.
+        A staging larger than the capacity is allowed when the bucket is full. It makes the balance
+        negative, so that the mean rate holds for stagings of any size.
         """
         self._refill()
         capacity = self._rate_bytes_per_s * self._burst_s
--- a/tests/weights/test_parts.py
+++ b/tests/weights/test_parts.py
@@ -1,4 +1,4 @@
-"""Tests of the staging budget, the failure record and the shards."""
+"""Tests of the staging budget, the failure tracking and the shards."""
 
 from datetime import UTC, datetime
 from random import Random
@@ -9,7 +9,7 @@
 
 
 class ManualClock:
-    """A clock that tests move by hand."""
+    """A clock that the tests advance explicitly."""
 
     def __init__(self) -> None:
         self.time_s = 0.0
@@ -26,7 +26,7 @@
 
 class TestStagingBudget:
     def test_mean_rate_holds_for_stagings_of_any_size(self) -> None:
-        """Over a minute, no more bytes start than the rate allows, plus one staging."""
+        """Over a minute, the bytes started exceed the rate by at most one staging."""
         clock = ManualClock()
         budget = StagingBudget(clock)
         budget.set_rate(100.0)
@@ -40,15 +40,15 @@
 
 class TestOrderFailures:
     def test_engine_is_set_aside_after_four_failures(self) -> None:
-        """The fourth failure in a row sets the engine aside, for that incarnation only."""
+        """The fourth consecutive failure sets the engine aside, for that incarnation only."""
         failures = OrderFailures(ManualClock(), Random(1))
         results = [failures.failed("e", 1, "m") for _ in range(4)]
         assert results == [False, False, False, True]
         assert failures.is_set_aside("e", 1, "m")
         assert not failures.is_set_aside("e", 2, "m")
 
-    def test_success_forgets_failures(self) -> None:
-        """A success puts the count back to zero."""
+    def test_success_resets_failures(self) -> None:
+        """A success resets the failure count and the retry time."""
         failures = OrderFailures(ManualClock(), Random(1))
         failures.failed("e", 1, "m")
         failures.succeeded("e", 1, "m")
@@ -56,8 +56,8 @@
 
 
 class TestShards:
-    def test_zone_at_full_size_spreads_over_all_shards(self) -> None:
-        """870 engines make no shard of more than twice the mean."""
+    def test_engines_are_spread_evenly_over_shards(self) -> None:
+        """Of 870 engines, no shard has more than twice the mean."""
         counts = [0] * SHARD_COUNT
         for number in range(870):
             counts[shard_of(f"engine-{number}")] += 1
