--- a/src/verbenawind/weights/controller.py
+++ b/src/verbenawind/weights/controller.py
@@ -1,4 +1,4 @@
-"""Brings the engines of one availability zone to the newest published versions."""
+"""Updates the engines of one availability zone to the newest published versions."""
 
 from collections.abc import Sequence
 from random import Random
@@ -17,32 +17,32 @@
 from verbenawind.kernel.rendezvous import top
 from verbenawind.weights.budget import StagingBudget
 from verbenawind.weights.plan import Target, swap_limit
-from verbenawind.weights.shard_holder import ShardHolder
+from verbenawind.weights.shard_controller import ShardController
 from verbenawind.weights.shards import lease_name, shard_of
 from verbenawind.weights.targets import Targets
 
 __all__ = ["WeightsController"]
 
-_LEASE_S = 15.0
+_MIN_LEASE_S = 15.0
 _LEASE_ORDER_TIMEOUTS = 3
-_PERIOD_S = 0.2
+_LOOP_PERIOD_S = 0.2
 _ACQUIRE_PERIOD_S = 2.0
-_CONTENDERS = 2
+_LEASE_CANDIDATES = 2
 
 
 class WeightsController:
-    """Holds leases of the zone's shards and gives orders to their engines.
+    """Acquires leases of the zone's shards and orders their engines to load new versions.
 
     Args:
-        fleet: The view of the engines.
+        fleet: The known engines and their last reported status.
         clients: Clients of the engines.
-        table: The table service's client.
+        table: Client of the table service.
         store: The weight store.
         leases: The lease manager.
         peers: The other daemons.
-        configuration: The revisions in force.
+        configuration: The configuration revisions in force.
         clock: Time source.
-        rng: Jitter.
+        rng: Source of jitter.
     """
 
     __slots__ = (
@@ -50,11 +50,11 @@
         "_clock",
         "_configuration",
         "_fleet",
-        "_holders",
         "_leases",
         "_next_acquire_s",
         "_peers",
         "_rng",
+        "_shard_controllers",
         "_targets",
     )
 
@@ -81,75 +81,77 @@
         self._targets = Targets(
             configuration=configuration, table=table, store=store, peers=peers, clock=clock
         )
-        self._holders: dict[int, ShardHolder] = {}
+        self._shard_controllers: dict[int, ShardController] = {}
         self._next_acquire_s = 0.0
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         while True:
-            await self._work()
-            await self._clock.sleep(self._rng.uniform(0.5, 1.5) * _PERIOD_S)
+            await self._run_once()
+            await self._clock.sleep(self._rng.uniform(0.5, 1.5) * _LOOP_PERIOD_S)
 
     def abandon(self) -> None:
-        """Drop the orders in flight and keep the leases, as a dying process would."""
-        for holder in self._holders.values():
-            holder.cancel()
-        self._holders.clear()
+        """Cancel the orders in flight and keep the leases, as if the process were killed."""
+        for shard_controller in self._shard_controllers.values():
+            shard_controller.cancel()
+        self._shard_controllers.clear()
 
     def held_shards(self) -> Sequence[int]:
-        """Return the shards whose lease this daemon holds."""
-        return tuple(self._holders)
+        """Return the shards whose leases this daemon holds."""
+        return tuple(self._shard_controllers)
 
     async def stop(self) -> None:
-        """Let the orders in flight end and give the leases back."""
-        for holder in self._holders.values():
-            await holder.stop()
-            await holder.lease.release()
-        self._holders.clear()
-
-    async def _work(self) -> None:
-        self._drop_lost()
-        await self._acquire()
-        if not self._holders:
+        """Wait for the orders in flight and release the leases."""
+        for shard_controller in self._shard_controllers.values():
+            await shard_controller.stop()
+            await shard_controller.lease.release()
+        self._shard_controllers.clear()
+
+    async def _run_once(self) -> None:
+        self._drop_lost_leases()
+        await self._acquire_leases()
+        if not self._shard_controllers:
             return
         await self._targets.refresh()
         targets = await self._targets.current()
-        self._release_reached(targets)
+        self._unpin_reached_targets(targets)
         limits, checks_fencing = self._pool_rules()
-        known = [target for target in targets if target.pool in limits]
+        supported = [target for target in targets if target.pool in limits]
         rate_bytes_per_s = self._shard_rate_bytes_per_s()
-        for holder in self._holders.values():
-            holder.budget.set_rate(rate_bytes_per_s)
-            holder.start_orders(known, limits, checks_fencing)
+        for shard_controller in self._shard_controllers.values():
+            shard_controller.budget.set_rate(rate_bytes_per_s)
+            shard_controller.start_orders(supported, limits, checks_fencing)
 
-    def _drop_lost(self) -> None:
-        for shard, holder in list(self._holders.items()):
-            if holder.lease.remaining_s() <= 0:
-                holder.cancel()
-                del self._holders[shard]
+    def _drop_lost_leases(self) -> None:
+        for shard, shard_controller in list(self._shard_controllers.items()):
+            if shard_controller.lease.remaining_s() <= 0:
+                shard_controller.cancel()
+                del self._shard_controllers[shard]
 
-    async def _acquire(self) -> None:
+    async def _acquire_leases(self) -> None:
         now_s = self._clock.monotonic_s()
         if now_s < self._next_acquire_s:
             return
         if not self._configuration.environments():
             return
         self._next_acquire_s = now_s + self._rng.uniform(0.75, 1.25) * _ACQUIRE_PERIOD_S
-        for shard in sorted(self._shards() - self._holders.keys()):
+        for shard in sorted(self._shards() - self._shard_controllers.keys()):
             await self._acquire_shard(shard)
 
     async def _acquire_shard(self, shard: int) -> None:
         zone = self._fleet.location.zone
         name = lease_name(zone, shard)
-        rivals = [peer.peer_id for peer in self._peers.peers() if peer.location.zone == zone]
-        if self._peers.peer_id not in top(name, [*rivals, self._peers.peer_id], _CONTENDERS):
+        zone_peers = [peer.peer_id for peer in self._peers.peers() if peer.location.zone == zone]
+        if self._peers.peer_id not in top(
+            name, [*zone_peers, self._peers.peer_id], _LEASE_CANDIDATES
+        ):
             return
-        longest_s = self._longest_order_s()
-        duration_s = max(_LEASE_S, _LEASE_ORDER_TIMEOUTS * longest_s)
+        max_order_timeout_s = self._max_order_timeout_s()
+        duration_s = max(_MIN_LEASE_S, _LEASE_ORDER_TIMEOUTS * max_order_timeout_s)
         lease = await self._leases.acquire(name, duration_s, zone_only=True)
         if lease is None:
             return
-        self._holders[shard] = ShardHolder(
+        self._shard_controllers[shard] = ShardController(
             shard,
             lease,
             fleet=self._fleet,
@@ -157,7 +159,7 @@
             budget=StagingBudget(self._clock),
             clock=self._clock,
             rng=self._rng,
-            settle_s=longest_s if lease.fencing_number > 1 else 0.0,
+            quiet_period_s=max_order_timeout_s if lease.fencing_number > 1 else 0.0,
         )
 
     def _shard_rate_bytes_per_s(self) -> float:
@@ -175,7 +177,7 @@
             if view.server.kind is BackendKind.ENGINE and view.server.location.zone == zone
         }
 
-    def _longest_order_s(self) -> float:
+    def _max_order_timeout_s(self) -> float:
         return max(
             (
                 pool.order_timeout_s
@@ -198,19 +200,19 @@
                 )
         return limits, checks_fencing
 
-    def _release_reached(self, targets: Sequence[Target]) -> None:
-        """Go on to newer versions where this daemon's engines have all reached their target."""
+    def _unpin_reached_targets(self, targets: Sequence[Target]) -> None:
+        """Unpin each target that all usable engines of the held shards have reached."""
         for target in targets:
             behind = [
                 view
                 for view in self._fleet.group(BackendKind.ENGINE, target.pool)
                 if view.server.location.zone == self._fleet.location.zone
                 and view.usable(self._clock.monotonic_s())
-                and shard_of(view.server.server_id) in self._holders
+                and shard_of(view.server.server_id) in self._shard_controllers
                 and _is_behind(view, target)
             ]
             if not behind:
-                self._targets.reached(target)
+                self._targets.unpin(target)
 
 
 def _is_behind(view: ServerView, target: Target) -> bool:
--- a/src/verbenawind/weights/shard_holder.py
+++ b/src/verbenawind/weights/shard_controller.py
@@ -1,4 +1,4 @@
-"""Gives orders to the engines of one shard while the shard's lease is held."""
+"""Orders the engines of one shard to load weights while the shard's lease is held."""
 
 import asyncio
 import functools
@@ -19,21 +19,22 @@
 from verbenawind.weights.shards import shard_of
 from verbenawind.weights.swap_queue import SwapQueue
 
-__all__ = ["ShardHolder"]
+__all__ = ["ShardController"]
 
 
-class ShardHolder:
-    """One shard's orders under one lease.
+class ShardController:
+    """Gives the orders of one shard under one lease.
 
     Args:
         shard: The shard's number.
-        lease: The held lease; its fencing number goes with each order.
-        fleet: The view of the engines.
+        lease: The lease, which is held; each order carries its fencing number.
+        fleet: The known engines and their last reported status.
         clients: Clients of the engines.
-        budget: Bounds staging.
+        budget: Limits the rate of staging.
         clock: Time source.
-        rng: Jitter.
-        settle_s: How long orders of an earlier holder may still be running, in seconds.
+        rng: Source of the back-off jitter.
+        settle_s: Seconds during which orders of an earlier lease holder may still be running.
+            Engines that do not check fencing numbers get no order in this time.
     """
 
     __slots__ = (
@@ -44,9 +45,9 @@
         "_last_ordered_s",
         "_log",
         "_orders",
-        "_settled_at_s",
+        "_quiet_until_s",
+        "_refreshed",
         "_swap_queue",
-        "_verified",
         "budget",
         "lease",
         "shard",
@@ -62,7 +63,7 @@
         budget: StagingBudget,
         clock: Clock,
         rng: Random,
-        settle_s: float,
+        quiet_period_s: float,
     ) -> None:
         self.shard = shard
         self.lease = lease
@@ -71,8 +72,8 @@
         self.budget = budget
         self._clock = clock
         self._failures = OrderFailures(clock, rng)
-        self._settled_at_s = clock.monotonic_s() + settle_s
-        self._verified: set[tuple[str, int]] = set()
+        self._quiet_until_s = clock.monotonic_s() + quiet_period_s
+        self._refreshed: set[tuple[str, int]] = set()
         self._orders: dict[str, asyncio.Task[None]] = {}
         self._last_ordered_s: dict[tuple[str, str], float] = {}
         self._swap_queue = SwapQueue()
@@ -86,20 +87,22 @@
     def start_orders(
         self, targets: Sequence[Target], limits: dict[str, int], checks_fencing: dict[str, bool]
     ) -> None:
-        """Start every order that is due; each engine has one at a time.
+        """Start every order that is due. An engine has at most one order at a time.
 
         Args:
-            targets: What the models' engines should be brought to.
+            targets: The version that each model's engines should run.
             limits: How many engines of each pool may swap at once.
-            checks_fencing: Whether each pool's engines refuse old fencing numbers.
+            checks_fencing: Whether each pool's engines reject outdated fencing numbers.
         """
-        self._forget_gone()
-        for target in self._fairly(targets):
+        self._prune_unregistered()
+        for target in self._by_last_order(targets):
             pool = [self._state(view, target) for view in self._pool_views(target)]
             admitted = self._admitted(target, pool, limits[target.pool])
             for state in pool:
                 if shard_of(state.server_id) == self.shard and state.server_id not in self._orders:
-                    self._consider(target, state, state.server_id in admitted, checks_fencing)
+                    self._start_order_if_due(
+                        target, state, state.server_id in admitted, checks_fencing
+                    )
 
     def _admitted(self, target: Target, pool: Sequence[EngineState], limit: int) -> frozenset[str]:
         if self._clock.now().timestamp() < target.activate_at_s:
@@ -107,22 +110,22 @@
         return self._swap_queue.admit(target, pool, limit, self._clock.monotonic_s())
 
     async def stop(self) -> None:
-        """Wait for the orders in flight."""
+        """Wait for the orders in flight to end."""
         await asyncio.gather(*self._orders.values(), return_exceptions=True)
 
     def cancel(self) -> None:
-        """Abandon the orders in flight, as a dying process would."""
+        """Cancel the orders in flight without waiting, as if the process were killed."""
         for task in self._orders.values():
             task.cancel()
 
-    def _consider(
+    def _start_order_if_due(
         self, target: Target, state: EngineState, may_swap: bool, checks_fencing: dict[str, bool]
     ) -> None:
         view = self._fleet.view(state.server_id)
         if view is None or view.server.location.zone != self._fleet.location.zone:
             return
         now_s = self._clock.monotonic_s()
-        if not checks_fencing[target.pool] and now_s < self._settled_at_s:
+        if not checks_fencing[target.pool] and now_s < self._quiet_until_s:
             return
         decision = next_order(
             target,
@@ -140,15 +143,15 @@
             self._run(view, target, decision.kind, decision.reason)
         )
         self._orders[state.server_id] = task
-        task.add_done_callback(functools.partial(self._finished, state.server_id))
+        task.add_done_callback(functools.partial(self._on_order_done, state.server_id))
 
     async def _run(self, view: ServerView, target: Target, kind: OrderKind, reason: str) -> None:
         server = view.server
         key = (server.server_id, server.incarnation)
         try:
-            if key not in self._verified:
-                await self._read_back(view)
-                self._verified.add(key)
+            if key not in self._refreshed:
+                await self._refresh_status(view)
+                self._refreshed.add(key)
                 return
             await self._order(view, target, kind, reason)
             self._failures.succeeded(*key, target.model)
@@ -167,7 +170,7 @@
             )
             if isinstance(error, FencingRefused):
                 return
-            await self._read_back_quietly(view)
+            await self._try_refresh_status(view)
 
     async def _order(self, view: ServerView, target: Target, kind: OrderKind, reason: str) -> None:
         order = EngineOrder(
@@ -195,12 +198,12 @@
             status = await client.order(order)
         self._fleet.observe(status)
 
-    async def _read_back(self, view: ServerView) -> None:
+    async def _refresh_status(self, view: ServerView) -> None:
         self._fleet.observe(await self._clients.engine(view.server).status())
 
-    async def _read_back_quietly(self, view: ServerView) -> None:
+    async def _try_refresh_status(self, view: ServerView) -> None:
         try:
-            await self._read_back(view)
+            await self._refresh_status(view)
         except VerbenawindError as error:
             self._log.info("engine_unreadable", error=error.message)
 
@@ -228,14 +231,14 @@
             ),
         )
 
-    def _fairly(self, targets: Sequence[Target]) -> Sequence[Target]:
-        """Return the models whose last order is the oldest first, so that none starves."""
+    def _by_last_order(self, targets: Sequence[Target]) -> Sequence[Target]:
+        """Sort the targets by their model's last order, oldest first, so that no model starves."""
 
         def last_ordered_s(target: Target) -> float:
             return max(
                 (
-                    at_s
-                    for (_, model), at_s in self._last_ordered_s.items()
+                    ordered_at_s
+                    for (_, model), ordered_at_s in self._last_ordered_s.items()
                     if model == target.model
                 ),
                 default=float("-inf"),
@@ -243,15 +246,17 @@
 
         return sorted(targets, key=last_ordered_s)
 
-    def _forget_gone(self) -> None:
+    def _prune_unregistered(self) -> None:
         known = {(view.server.server_id, view.server.incarnation) for view in self._fleet.all()}
         names = {server_id for server_id, _ in known}
-        self._verified &= known
+        self._refreshed &= known
         self._failures.retain(known)
         self._last_ordered_s = {
-            key: at_s for key, at_s in self._last_ordered_s.items() if key[0] in names
+            key: ordered_at_s
+            for key, ordered_at_s in self._last_ordered_s.items()
+            if key[0] in names
         }
         self._swap_queue.retain(names)
 
-    def _finished(self, server_id: str, _: asyncio.Task[None]) -> None:
+    def _on_order_done(self, server_id: str, _: asyncio.Task[None]) -> None:
         self._orders.pop(server_id, None)
--- a/src/verbenawind/weights/targets.py
+++ b/src/verbenawind/weights/targets.py
@@ -1,4 +1,4 @@
-"""Knows the version that each model's engines should be brought to."""
+"""Tracks the version that each model's engines should run."""
 
 from collections.abc import Sequence
 
@@ -17,17 +17,17 @@
 
 _SCAN_PERIOD_S = 2.0
 _SCAN_LIMIT = 10_000
-_PIN_S = 20.0
+_PIN_TIMEOUT_S = 20.0
 
 
 class Targets:
-    """Follows published versions: at once by the peers' items, and slowly by the table.
+    """Tracks published versions, by gossip from the peers and by periodic scans of the table.
 
     Args:
-        configuration: The revisions in force.
-        table: The table service's client.
+        configuration: The configuration revisions in force.
+        table: Client of the table service.
         store: The weight store.
-        peers: Brings the items that announce versions.
+        peers: The gossip bus, whose items announce new versions.
         clock: Time source.
     """
 
@@ -61,12 +61,12 @@
         self._sizes: dict[tuple[str, int], int] = {}
         self._next_scan_s = 0.0
         self._log = structlog.get_logger("weights")
-        peers.on_item(VERSION_ITEM_KIND, lambda item: self._learn_item(item.key, item.body))
+        peers.on_item(VERSION_ITEM_KIND, lambda item: self._record_item(item.key, item.body))
         for item in peers.items(VERSION_ITEM_KIND):
-            self._learn_item(item.key, item.body)
+            self._record_item(item.key, item.body)
 
     async def refresh(self) -> None:
-        """Read the published versions from the table when it is time to."""
+        """Scan the table for published versions, at most once per scan period."""
         if self._clock.monotonic_s() < self._next_scan_s:
             return
         self._next_scan_s = self._clock.monotonic_s() + _SCAN_PERIOD_S
@@ -77,13 +77,16 @@
                 self._log.warning("versions_unavailable", error=error.message)
                 return
             for row in rows:
-                self._learn(revision.name, msgspec.json.decode(row.value, type=VersionRecord))
+                self._record_version(
+                    revision.name, msgspec.json.decode(row.value, type=VersionRecord)
+                )
 
     async def current(self) -> Sequence[Target]:
         """Return the target of each model that has one.
 
-        A target stays until :meth:`reached` is told or ``_PIN_S`` seconds have passed, so that
-        versions which follow each other quickly do not keep engines from ever activating one.
+        A target is pinned until :meth:`unpin` is called or ``_PIN_TIMEOUT_S`` and the activation
+        delay have passed. Otherwise, versions that are published in quick succession could keep
+        engines from ever activating one.
         """
         targets = []
         for revision in self._configuration.environments():
@@ -93,8 +96,8 @@
                     targets.append(target)
         return targets
 
-    def reached(self, target: Target) -> None:
-        """Go on to the newest version of the target's model."""
+    def unpin(self, target: Target) -> None:
+        """Let the target's model move on to its newest version."""
         self._pinned.pop((target.environment, target.model), None)
 
     async def _target(self, revision: EnvironmentRevision, model: ModelSpec) -> Target | None:
@@ -105,7 +108,7 @@
             return None
         now_s = self._clock.monotonic_s()
         record, pinned_at_s = self._pinned.get(key, (newest, now_s))
-        if now_s - pinned_at_s > _PIN_S + revision.document.weights.activation_delay_s:
+        if now_s - pinned_at_s > _PIN_TIMEOUT_S + revision.document.weights.activation_delay_s:
             record, pinned_at_s = newest, now_s
         self._pinned[key] = record, pinned_at_s
         size_bytes = await self._size_bytes(record)
@@ -139,11 +142,11 @@
             self._sizes[key] = manifest.size_bytes
         return self._sizes[key]
 
-    def _learn_item(self, key: str, body: bytes) -> None:
+    def _record_item(self, key: str, body: bytes) -> None:
         environment = key.rpartition("/")[0]
-        self._learn(environment, msgspec.json.decode(body, type=VersionRecord))
+        self._record_version(environment, msgspec.json.decode(body, type=VersionRecord))
 
-    def _learn(self, environment: str, record: VersionRecord) -> None:
+    def _record_version(self, environment: str, record: VersionRecord) -> None:
         key = (environment, record.model)
         known = self._newest.get(key)
         if known is None or known.version < record.version:
--- a/tests/weights/test_controller.py
+++ b/tests/weights/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of bringing engines to new weights, under failures, on virtual time."""
+"""Tests of weight updates under failures, on virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,7 +29,7 @@
 
 
 class Scene:
-    """A world with engines in one zone, one or two daemons there, and a document in force."""
+    """A simulated zone with engines, one or two daemons and a document in force."""
 
     def __init__(self, world: World, revision: EnvironmentRevision) -> None:
         self.world = world
@@ -95,7 +95,7 @@
 
 class TestWeightsController:
     def test_every_engine_reaches_a_published_version(self) -> None:
-        """All engines run a new version soon after its publication."""
+        """All engines run a new version within 15 s of its publication."""
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1)
@@ -104,7 +104,7 @@
         play(scenario)
 
     def test_failed_swaps_are_repaired(self) -> None:
-        """Engines whose swap stopped halfway are brought to the version all the same."""
+        """Engines whose first swaps fail are still updated to the version."""
 
         async def scenario(scene: Scene) -> None:
             for engine in list(scene.world.engines.values())[::2]:
@@ -114,8 +114,8 @@
 
         play(scenario)
 
-    def test_hopeless_engine_is_set_aside_and_others_go_on(self) -> None:
-        """An engine that fails every swap keeps neither others nor newer versions back."""
+    def test_failing_engine_is_set_aside_and_others_are_updated(self) -> None:
+        """An engine that fails every swap blocks neither other engines nor newer versions."""
 
         async def scenario(scene: Scene) -> None:
             broken, *others = scene.world.engines.values()
@@ -130,8 +130,8 @@
 
         play(scenario, applications=True)
 
-    def test_restarted_engine_is_brought_forward_again(self) -> None:
-        """An engine that restarts with its old weights gets the newest version again."""
+    def test_restarted_engine_is_updated_again(self) -> None:
+        """An engine that restarts with its initial weights is updated to the newest version."""
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1)
@@ -146,8 +146,8 @@
 
     @pytest.mark.parametrize("activation_delay_s", [0.0, 30.0])
     def test_application_pool_is_never_swapped_all_at_once(self, activation_delay_s: float) -> None:
-        """At every moment at least half of an application pool has a definite version."""
-        definite: list[int] = []
+        """At least half of an application pool always has a known active version."""
+        known_counts: list[int] = []
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1)
@@ -155,15 +155,15 @@
                 versions = [
                     engine.active_version("tuner") for engine in scene.world.engines.values()
                 ]
-                definite.append(sum(version is not None for version in versions))
+                known_counts.append(sum(version is not None for version in versions))
                 assert scene.world.clock.monotonic_s() < activation_delay_s + 60.0
                 await asyncio.sleep(0.01)
 
         play(scenario, engines=4, applications=True, activation_delay_s=activation_delay_s)
-        assert min(definite) >= 2
+        assert min(known_counts) >= 2
 
     def test_no_model_starves_while_another_changes_fast(self) -> None:
-        """A model reaches its version while another gets a new one every second."""
+        """A model reaches its version while another one is published every second."""
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1, model="gluer")
@@ -178,8 +178,8 @@
 
         play(scenario)
 
-    def test_new_holder_waits_out_orders_to_engines_that_ignore_fencing(self) -> None:
-        """After a holder dies, its successor gives no order before the longest one has ended."""
+    def test_new_holder_waits_for_earlier_orders_without_fencing(self) -> None:
+        """Without fencing checks, a new lease holder waits until earlier orders have timed out."""
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1)
@@ -199,8 +199,8 @@
 
         play(scenario, daemons=2, checks_fencing=False, engines=1)
 
-    def test_paused_holder_that_wakes_orders_nothing(self) -> None:
-        """A holder that slept through its lease gives no order with its old fencing number."""
+    def test_paused_holder_gives_no_outdated_orders(self) -> None:
+        """A holder that resumes after its lease has expired gives no order under it."""
 
         async def scenario(scene: Scene) -> None:
             await scene.publish(1)
