--- a/src/verbenawind/weights/rolling.py
+++ b/src/verbenawind/weights/rolling.py
@@ -1,8 +1,8 @@
-"""Decides which engines load a named version, and when; values in, orders and reasons out.
+"""Plans rolling weight updates: which engines load a new version, and when.
 
-Batch jobs accept a version or two before the newest. An engine therefore need not load every
-version: at each new one a part of the engines loads while the others go on serving, and the parts
-take turns.
+The functions are pure: they do no I/O. Batch jobs usually accept a version or two before the
+newest, so an engine need not load every version. At each new version, only some of the engines
+load it while the others continue to serve; the engines rotate.
 """
 
 import math
@@ -13,7 +13,7 @@
 from verbenawind.kernel.rendezvous import top
 
 __all__ = [
-    "EngineLoad",
+    "EngineLoadState",
     "LoadOrder",
     "LoadPlan",
     "ModelEngines",
@@ -21,24 +21,24 @@
     "OrderReply",
     "PlannedLoad",
     "SwapMode",
-    "engines_of_model",
-    "oldest_useful",
+    "assign_engines",
+    "oldest_acceptable",
     "plan_loads",
 ]
 
-# The part of a pool that loads at once; engines that load together slow each other down.
-_LOADING_FRACTION = 0.42
+# Largest fraction of a pool that loads at once; concurrent loads slow each other down.
+_MAX_LOADING_FRACTION = 0.42
 
 
 class SwapMode(StrEnum):
-    """What becomes of the runs of an engine that changes its weights."""
+    """How an engine treats its running requests when it changes its weights."""
 
     IN_PLACE = "in_place"
     DRAIN = "drain"
 
 
 class OrderAnswer(StrEnum):
-    """What an engine said to an order."""
+    """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -51,9 +51,10 @@
 
 
 class LoadOrder(Value, frozen=True, kw_only=True):
-    """An order to load a version; a late one is void once the engine has accepted another.
+    """An order to load a version.
 
-    ``expected_orders`` is how many orders the engine must have accepted before this one.
+    ``expected_orders`` is the number of orders that the engine must have accepted before this
+    one. An order that is delayed and arrives after another was accepted is therefore rejected.
     """
 
     model: str
@@ -64,14 +65,17 @@
 
 
 class OrderReply(Value, frozen=True, kw_only=True):
-    """An engine's answer to an order, and its wording for the log."""
+    """An engine's answer to an order, with a detail for the log."""
 
     answer: OrderAnswer
     detail: str
 
 
-class EngineLoad(Value, frozen=True, kw_only=True):
-    """An engine with respect to one model; ``loading`` covers orders that may be under way."""
+class EngineLoadState(Value, frozen=True, kw_only=True):
+    """The state of one engine for one model.
+
+    ``loading`` is also set while it is unknown whether an order was accepted.
+    """
 
     instance_id: str
     version: int
@@ -81,7 +85,7 @@
 
 
 class PlannedLoad(Value, frozen=True, kw_only=True):
-    """One load that should begin now."""
+    """A load that should start now."""
 
     model: str
     instance_id: str
@@ -89,30 +93,30 @@
 
 
 class ModelEngines(Value, frozen=True, kw_only=True):
-    """The engines that are kept current for a model, and which versions are of use.
+    """The engines that are assigned to a model, and the versions that its jobs accept.
 
     Attributes:
         model: The model.
-        engines: Its engines.
-        newest: The newest version that is named.
-        needed: The oldest version that all open batch jobs accept, 0 without such jobs.
+        engines: The assigned engines.
+        newest: The newest named version.
+        needed: The oldest version that all open batch jobs accept, or 0 if no job is open.
         lag: How many versions behind the newest batch jobs usually accept.
     """
 
     model: str
-    engines: tuple[EngineLoad, ...]
+    engines: tuple[EngineLoadState, ...]
     newest: int
     needed: int
     lag: int
 
     @property
-    def oldest_useful(self) -> int:
-        """The oldest version that open and coming jobs accept."""
-        return oldest_useful(self.newest, needed=self.needed, lag=self.lag)
+    def oldest_acceptable(self) -> int:
+        """The oldest version that the open jobs and the expected next ones accept."""
+        return oldest_acceptable(self.newest, needed=self.needed, lag=self.lag)
 
 
 class LoadPlan(Value, frozen=True, kw_only=True):
-    """The loads of a pool that should begin now, and what keeps others waiting."""
+    """The loads of a pool that should start now, and the counts that limit them."""
 
     loads: tuple[PlannedLoad, ...]
     behind: int
@@ -120,8 +124,10 @@
     loading_limit: int
 
 
-def oldest_useful(newest: int, *, needed: int, lag: int) -> int:
-    """Return the oldest version that is not replaced at once.
+def oldest_acceptable(newest: int, *, needed: int, lag: int) -> int:
+    """Return the oldest version that the open jobs and the expected next ones accept.
+
+    Engines with an older version load the newest one as soon as the loading limit allows.
 
     Args:
         newest: The newest named version.
@@ -131,18 +137,17 @@
     return min(newest, max(needed, newest - lag))
 
 
-def engines_of_model(
-    model: str, engines: Sequence[str], *, models: int, lag: int
-) -> frozenset[str]:
-    """Return the engines that are kept current for a model.
+def assign_engines(model: str, engines: Sequence[str], *, models: int, lag: int) -> frozenset[str]:
+    """Return the engines that are assigned to a model.
 
-    With many models on one pool not every engine follows each of them: an engine that is loaded
-    at every ``lag + 1``-th version may follow that many models at the cost of one load a version.
+    With many models in a pool, an engine is assigned to only some of them. An engine that loads
+    every ``lag + 1``-th version of a model can be assigned to ``lag + 1`` models and still load
+    only once per version on average.
 
     Args:
         model: The model.
-        engines: Every engine that serves it.
-        models: How many models the pool's trainers name versions of.
+        engines: All engines that serve it.
+        models: Number of models in the pool that have a named version.
         lag: How many versions behind the newest batch jobs usually accept.
     """
     count = math.ceil(len(engines) * (lag + 1) / max(1, models))
@@ -152,68 +157,76 @@
 def plan_loads(models: Sequence[ModelEngines], *, pool_size: int) -> LoadPlan:
     """Return which engines of a pool should load the newest version of which model now.
 
-    Engines that load together slow each other down, so only a part of the pool does at a time.
-    Among models that have fallen behind, each load goes to the one that the least part of its
-    engines can serve.
+    Concurrent loads slow each other down, so only a fraction of the pool loads at a time. Among
+    models with outdated engines, the next load goes to the model with the smallest fraction of
+    engines that can serve it.
 
     Args:
         models: The models of the pool.
-        pool_size: How many engines the pool has.
+        pool_size: Number of engines in the pool.
     """
-    limit = max(1, round(_LOADING_FRACTION * pool_size))
+    limit = max(1, round(_MAX_LOADING_FRACTION * pool_size))
     loading = len({e.instance_id for model in models for e in model.engines if e.loading})
     queues = [_LoadQueue(model) for model in models]
-    behind = sum(len(queue.useless) + len(queue.turn) for queue in queues)
+    behind = sum(len(queue.outdated) + len(queue.rotation) for queue in queues)
     planned: list[PlannedLoad] = []
-    taken: set[str] = set()
+    planned_engines: set[str] = set()
     while len(planned) < limit - loading:
         for queue in queues:
-            queue.skip(taken)
-        urgent = [queue for queue in queues if queue.useless]
-        waiting = urgent or [queue for queue in queues if queue.turn]
-        if not waiting:
+            queue.exclude(planned_engines)
+        outdated_queues = [queue for queue in queues if queue.outdated]
+        candidates = outdated_queues or [queue for queue in queues if queue.rotation]
+        if not candidates:
             break
-        load = min(waiting, key=lambda queue: (queue.covered, queue.model)).next_load()
-        taken.add(load.instance_id)
+        load = min(candidates, key=lambda queue: (queue.coverage, queue.model)).next_load()
+        planned_engines.add(load.instance_id)
         planned.append(load)
     return LoadPlan(loads=tuple(planned), behind=behind, loading=loading, loading_limit=limit)
 
 
 class _LoadQueue:
-    """Engines of one model that wait for a load, in order."""
+    """Engines of one model that should load its newest version, in loading order.
+
+    ``outdated`` engines can no longer serve the model's jobs. ``rotation`` engines still can, and
+    load early.
+    """
 
-    __slots__ = ("_served", "_size", "model", "turn", "useless")
+    __slots__ = ("_serving", "_size", "model", "outdated", "rotation")
 
     def __init__(self, model: ModelEngines) -> None:
         self.model = model.model
         self._size = max(1, len(model.engines))
-        self._served = sum(e.loading or e.version >= model.oldest_useful for e in model.engines)
-        waiting = [e for e in model.engines if e.ready and not e.loading]
-        waiting = [engine for engine in waiting if engine.version < model.newest]
-        waiting.sort(key=lambda engine: (engine.version, engine.outstanding, engine.instance_id))
-        self.useless = [e.instance_id for e in waiting if e.version < model.oldest_useful]
-        # Spare loads spread over versions what would otherwise fall due together.
+        self._serving = sum(
+            e.loading or e.version >= model.oldest_acceptable for e in model.engines
+        )
+        candidates = [e for e in model.engines if e.ready and not e.loading]
+        candidates = [engine for engine in candidates if engine.version < model.newest]
+        candidates.sort(key=lambda engine: (engine.version, engine.outstanding, engine.instance_id))
+        self.outdated = [e.instance_id for e in candidates if e.version < model.oldest_acceptable]
+        # Early loads spread work over versions that would otherwise be due at the same time.
         current = sum(e.loading or e.version >= model.newest for e in model.engines)
-        turn = max(1, len(model.engines) // (model.lag + 1)) if model.lag else len(model.engines)
-        spare = max(0, turn - current - len(self.useless))
-        others = [engine.instance_id for engine in waiting[len(self.useless) :]]
-        self.turn = others[:spare]
+        rotation_size = (
+            max(1, len(model.engines) // (model.lag + 1)) if model.lag else len(model.engines)
+        )
+        remaining = max(0, rotation_size - current - len(self.outdated))
+        acceptable = [engine.instance_id for engine in candidates[len(self.outdated) :]]
+        self.rotation = acceptable[:remaining]
 
     @property
-    def covered(self) -> float:
-        """The part of the engines that serve the model, or will after the planned loads."""
-        return self._served / self._size
+    def coverage(self) -> float:
+        """The fraction of engines that can serve the model once the planned loads are done."""
+        return self._serving / self._size
 
-    def skip(self, taken: Collection[str]) -> None:
-        """Leave out engines that load another model first."""
-        self.useless = [name for name in self.useless if name not in taken]
-        self.turn = [name for name in self.turn if name not in taken]
+    def exclude(self, planned_engines: Collection[str]) -> None:
+        """Remove engines that are planned to load another model."""
+        self.outdated = [name for name in self.outdated if name not in planned_engines]
+        self.rotation = [name for name in self.rotation if name not in planned_engines]
 
     def next_load(self) -> PlannedLoad:
-        """Take the next engine out of the queue."""
-        if self.useless:
-            self._served += 1
-            reason = "its version is of no use any more"
-            return PlannedLoad(model=self.model, instance_id=self.useless.pop(0), reason=reason)
-        reason = "its turn among the versions"
-        return PlannedLoad(model=self.model, instance_id=self.turn.pop(0), reason=reason)
+        """Remove the next engine from the queue and return its load."""
+        if self.outdated:
+            self._serving += 1
+            reason = "its version is older than jobs accept"
+            return PlannedLoad(model=self.model, instance_id=self.outdated.pop(0), reason=reason)
+        reason = "early load in rotation with the other engines"
+        return PlannedLoad(model=self.model, instance_id=self.rotation.pop(0), reason=reason)
--- a/tests/weights/test_rolling.py
+++ b/tests/weights/test_rolling.py
@@ -1,28 +1,28 @@
-"""Tests of which engines load a version, with few models and many."""
+"""Tests of the planning of rolling weight updates, with one model and several."""
 
 import msgspec
 
 from verbenawind.weights.rolling import (
-    EngineLoad,
+    EngineLoadState,
     LoadPlan,
     ModelEngines,
-    engines_of_model,
+    assign_engines,
     plan_loads,
 )
 
 
-def pool(*versions: int) -> list[EngineLoad]:
-    """Return idle engines with these versions."""
+def pool(*versions: int) -> list[EngineLoadState]:
+    """Return idle engines that have these versions."""
     return [
-        EngineLoad(instance_id=f"e{index}", version=version, loading=False)
+        EngineLoadState(instance_id=f"e{index}", version=version, loading=False)
         for index, version in enumerate(versions)
     ]
 
 
 def model(
-    engines: list[EngineLoad], newest: int, *, name: str = "m", **fields: int
+    engines: list[EngineLoadState], newest: int, *, name: str = "m", **fields: int
 ) -> ModelEngines:
-    """Return a model that these engines follow; jobs accept ``lag`` versions before the newest."""
+    """Return a model with these engines; jobs accept ``lag`` versions before the newest."""
     lag = fields.pop("lag", 0)
     needed = fields.pop("needed", newest - lag)
     return ModelEngines(
@@ -30,20 +30,22 @@
     )
 
 
-def plan(engines: list[EngineLoad], newest: int, **fields: int) -> LoadPlan:
+def plan(engines: list[EngineLoadState], newest: int, **fields: int) -> LoadPlan:
     """Plan the loads of a pool with one model."""
     return plan_loads([model(engines, newest, **fields)], pool_size=len(engines))
 
 
-def load(engines: list[EngineLoad], newest: int, lag: int) -> tuple[list[EngineLoad], int]:
-    """Carry out every load of one version, wave after wave; return the pool and the loads."""
+def load(
+    engines: list[EngineLoadState], newest: int, lag: int
+) -> tuple[list[EngineLoadState], int]:
+    """Apply all loads of one version in waves; return the engines and the number of loads."""
     loads = 0
     while planned := plan(engines, newest, lag=lag).loads:
         names = {load.instance_id for load in planned}
         loads += len(names)
         engines = [
             (
-                EngineLoad(instance_id=e.instance_id, version=newest, loading=False)
+                EngineLoadState(instance_id=e.instance_id, version=newest, loading=False)
                 if e.instance_id in names
                 else e
             )
@@ -52,9 +54,9 @@
     return engines, loads
 
 
-class TestTurns:
-    def test_steady_trainer_costs_half_the_pool_a_version(self) -> None:
-        """With jobs one version behind, each engine loads every second version."""
+class TestRotation:
+    def test_lag_of_one_loads_half_the_pool_per_version(self) -> None:
+        """If jobs accept one version behind, each engine loads every second version."""
         engines, total = pool(*[1] * 8), 0
         for newest in range(2, 12):
             engines, loads = load(engines, newest, lag=1)
@@ -62,30 +64,30 @@
             assert all(engine.version >= newest - 1 for engine in engines)
         assert total <= 10 * 4
 
-    def test_plain_policy_costs_twice_as_much(self) -> None:
-        """Against loading every engine at every version, in the same run, half is saved."""
+    def test_lag_of_zero_loads_the_whole_pool_per_version(self) -> None:
+        """If jobs accept only the newest version, each engine loads each version."""
         engines, total = pool(*[1] * 8), 0
         for newest in range(2, 12):
             engines, loads = load(engines, newest, lag=0)
             total += loads
         assert total == 10 * 8
 
-    def test_most_engines_serve_while_others_load(self) -> None:
-        """A wave is never more than about two fifths of the pool."""
+    def test_wave_size_is_limited(self) -> None:
+        """A wave is at most 42 % of the pool."""
         wave = plan(pool(*[1] * 22), 3)
         assert len(wave.loads) == 9 and wave.behind == 22
 
     def test_smallest_pool_still_loads(self) -> None:
-        """A single engine loads although nobody serves meanwhile."""
+        """A single engine loads, although none can serve in the meantime."""
         assert plan(pool(1), 2).loads
 
-    def test_oldest_engines_go_first(self) -> None:
-        """Engines that are of no use are loaded before those whose turn it is."""
+    def test_outdated_engines_load_first(self) -> None:
+        """Outdated engines load before engines that load early in rotation."""
         wave = plan(pool(4, 2, 4, 2), 4, needed=3, lag=1)
         assert [load.instance_id for load in wave.loads] == ["e1", "e3"]
 
-    def test_loading_engines_count(self) -> None:
-        """Engines that load other models leave less room for a wave."""
+    def test_engines_that_load_other_models_count(self) -> None:
+        """Engines that load other models count towards the limit."""
         behind = pool(1, 1, 1, 1)
         elsewhere = [
             msgspec.structs.replace(engine, loading=index < 2, ready=index >= 2)
@@ -100,12 +102,12 @@
 
 
 class TestSeveralModelsBehind:
-    """The store was away: several versions of several models are named at once."""
+    """After a store outage, several versions of several models are named at once."""
 
     def loaded_after(self, waves: int, *, covered: int, behind: int) -> list[float]:
-        """Return the part of each model's engines that serve it after some waves.
+        """Return the fraction of each model's engines that can serve it after some waves.
 
-        The first model has *covered* engines that serve its jobs, the second none.
+        Initially *covered* engines can serve the first model, and none the second.
         """
         size = covered + behind
         versions = {"a": [8] * covered + [6] * behind, "b": [6] * size}
@@ -115,8 +117,8 @@
                 versions[load.model][int(load.instance_id[1:])] = 9
         return [sum(held >= 8 for held in versions[name]) / size for name in "ab"]
 
-    def test_model_without_engines_goes_first(self) -> None:
-        """What loads first are engines of the model that no engine can serve."""
+    def test_model_that_no_engine_can_serve_loads_first(self) -> None:
+        """Engines of the model that no engine can serve load first."""
         wave = plan_loads(
             [
                 model(pool(8, 8, 8, 6, 6), 9, name="a", lag=1),
@@ -126,12 +128,12 @@
         )
         assert [load.model for load in wave.loads] == ["b", "b"]
 
-    def test_every_model_is_served_soon(self) -> None:
-        """After two waves of two, each of two models is served by two fifths of the engines."""
+    def test_every_model_can_be_served_after_two_waves(self) -> None:
+        """After two waves of two loads, 40 % of the engines can serve each of two models."""
         assert min(self.loaded_after(2, covered=2, behind=3)) >= 0.4
 
     def test_one_engine_loads_one_model_at_a_time(self) -> None:
-        """An engine that is behind with two models is ordered to load one of them."""
+        """An engine that is behind for two models is planned to load only one of them."""
         wave = plan_loads(
             [model(pool(1, 1, 1, 1), 3, name=name) for name in ("a", "b")], pool_size=4
         )
@@ -140,22 +142,22 @@
 
 
 class TestManyModels:
-    def test_engines_are_shared_out(self) -> None:
-        """With four models and jobs one version behind, each model has half of the engines."""
+    def test_engines_are_divided_among_models(self) -> None:
+        """With four models and a lag of one, each model is assigned half of the engines."""
         engines = [f"e{index}" for index in range(24)]
-        shares = [engines_of_model(f"m{n}", engines, models=4, lag=1) for n in range(4)]
+        shares = [assign_engines(f"m{n}", engines, models=4, lag=1) for n in range(4)]
         assert [len(share) for share in shares] == [12] * 4
         assert len(frozenset().union(*shares)) > 18
 
-    def test_few_models_have_all_engines(self) -> None:
-        """With as many models as versions of slack, every engine follows every model."""
+    def test_few_models_are_assigned_all_engines(self) -> None:
+        """With at most ``lag + 1`` models, every engine is assigned to every model."""
         engines = [f"e{index}" for index in range(5)]
-        assert engines_of_model("m", engines, models=2, lag=1) == set(engines)
-        assert engines_of_model("m", engines, models=1, lag=0) == set(engines)
+        assert assign_engines("m", engines, models=2, lag=1) == set(engines)
+        assert assign_engines("m", engines, models=1, lag=0) == set(engines)
 
-    def test_lost_engine_changes_little(self) -> None:
-        """When an engine goes, a model keeps the others and gets at most one more."""
+    def test_removed_engine_changes_few_assignments(self) -> None:
+        """When an engine is removed, a model loses at most one other and gains at most one."""
         engines = [f"e{index}" for index in range(24)]
-        before = engines_of_model("m", engines, models=4, lag=1)
-        after = engines_of_model("m", engines[1:], models=4, lag=1)
+        before = assign_engines("m", engines, models=4, lag=1)
+        after = assign_engines("m", engines[1:], models=4, lag=1)
         assert len(before - after - {"e0"}) <= 1 and len(after - before) <= 1
