--- a/tests/node/test_orders.py
+++ b/tests/node/test_orders.py
@@ -1,27 +1,27 @@
-"""Tests of new weights over hosts: who orders, when, and what jobs see of it."""
+"""Tests of weight updates with several hosts: who gives orders, when, and the effect on jobs."""
 
 import itertools
 
 from node.fleet import MODEL, ORDER_GAP_S, Fleet, check_whole, job, run_fleet
 
 
-def orders_in_time(fleet: Fleet, name: str) -> list[tuple[float, int]]:
-    """Return when an engine accepted orders, and under which fencing number."""
+def accepted_orders(fleet: Fleet, name: str) -> list[tuple[float, int]]:
+    """Return the time and fencing number of each order that an engine accepted."""
     return [(at_s, number) for at_s, number, _ in fleet.engines.engines[name].orders]
 
 
-def check_turns(fleet: Fleet) -> None:
-    """Check that orders of two holders to one engine are far enough apart."""
+def check_order_gaps(fleet: Fleet) -> None:
+    """Check that orders of different lease holders to an engine are far enough apart."""
     for name in fleet.engines.engines:
-        orders = orders_in_time(fleet, name)
+        orders = accepted_orders(fleet, name)
         for (before_s, before), (after_s, after) in itertools.pairwise(orders):
             assert after >= before
             assert after == before or after_s - before_s >= ORDER_GAP_S
 
 
 class TestLoads:
-    def test_engines_load_by_turns(self) -> None:
-        """With jobs that accept the version before, half of the engines load each version."""
+    def test_engines_load_in_rotation(self) -> None:
+        """If jobs accept the previous version, half of the engines load each version."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=4)
@@ -36,12 +36,12 @@
                 await fleet.clock.sleep(1.0)
             loads = sum(len(engine.orders) for engine in fleet.engines.engines.values())
             assert loads <= 6 * 2 + 2
-            check_turns(fleet)
+            check_order_gaps(fleet)
 
         run_fleet(work)
 
-    def test_all_engines_load_for_jobs_that_want_the_newest(self) -> None:
-        """With jobs that accept the newest version only, every engine loads it, not all at once."""
+    def test_all_engines_load_for_jobs_that_need_the_newest_version(self) -> None:
+        """If jobs accept only the newest version, every engine loads it."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=5)
@@ -60,8 +60,8 @@
 
         run_fleet(work)
 
-    def test_single_version_results_mix_no_versions(self) -> None:
-        """On a single-version route each text was made by one version, also while engines load."""
+    def test_single_version_results_do_not_mix_versions(self) -> None:
+        """On a single-version route, one version generates each text, also while engines load."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=3, single_version=True)
@@ -78,10 +78,10 @@
 
 
 class TestReadiness:
-    """A trainer names a version and asks for the next step a second or two later."""
+    """A trainer names a version and submits the next step a second or two later."""
 
-    def test_engines_load_before_the_step_is_asked(self) -> None:
-        """Engines that the next step cannot use load as soon as the version is named."""
+    def test_engines_load_before_the_next_step(self) -> None:
+        """Engines that the next step cannot use load the version as soon as it is named."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=5)
@@ -93,15 +93,17 @@
                     engine.versions[MODEL] >= version - 1
                     for engine in fleet.engines.engines.values()
                 ]
-                assert all(usable), f"version {version}: {sum(usable)} of 5 engines are of use"
+                assert all(
+                    usable
+                ), f"version {version}: {sum(usable)} of 5 engines can serve the step"
                 submission = job(f"job-{version}", min_version=version - 1, step=version)
                 await fleet.submit(first, submission)
                 await fleet.collect(first, submission)
 
         run_fleet(work)
 
-    def test_late_end_of_a_job_does_not_mislead(self) -> None:
-        """A job that ends after the next version was named tells nothing of the trainer's lag."""
+    def test_late_end_of_a_job_does_not_change_the_lag(self) -> None:
+        """A job that ends after the next version is named does not affect the model's lag."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=5)
@@ -123,9 +125,9 @@
         run_fleet(work)
 
 
-class TestHolders:
-    def test_next_holder_orders_though_it_does_not_know_the_counts(self) -> None:
-        """An engine that refuses an order for its count is ordered again at once."""
+class TestLeaseHolders:
+    def test_new_holder_learns_order_counts(self) -> None:
+        """A new holder does not know the order counts; a refused order is retried at once."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=2)
@@ -144,12 +146,12 @@
                 lambda: any(e.versions[MODEL] == 9 for e in fleet.engines.engines.values())
             )
             assert took_s < 0.9 + 0.35
-            check_turns(fleet)
+            check_order_gaps(fleet)
 
         run_fleet(work)
 
-    def test_killed_holder_is_followed_without_taking_turns(self) -> None:
-        """After the holder's death another orders, never too soon after the last order."""
+    def test_orders_of_successive_holders_keep_their_distance(self) -> None:
+        """When holders are killed, a successor leaves the minimum gap after the last order."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=2)
@@ -166,12 +168,12 @@
                 fleet.kill(holder.name)
                 await fleet.until(lambda: any(m.node.lease.epoch for m in fleet.members.values()))
                 fleet.add_host(f"{holder.name}-{version}")
-            check_turns(fleet)
+            check_order_gaps(fleet)
 
         run_fleet(work)
 
-    def test_next_holder_need_not_wait_after_a_quiet_time(self) -> None:
-        """When the last order was long ago the next holder orders within the lease's time."""
+    def test_new_holder_does_not_wait_after_an_idle_period(self) -> None:
+        """If the last order is long past, a new holder gives orders once the lease has expired."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=2)
@@ -185,12 +187,12 @@
                 lambda: any(e.versions[MODEL] == 3 for e in fleet.engines.engines.values())
             )
             assert took_s < 4.0
-            check_turns(fleet)
+            check_order_gaps(fleet)
 
         run_fleet(work)
 
-    def test_holder_that_is_cut_off_stops_in_time(self) -> None:
-        """A holder that cannot renew gives no order once another may."""
+    def test_partitioned_holder_stops_in_time(self) -> None:
+        """A holder that cannot renew its lease gives no order once another host may."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=3)
@@ -203,6 +205,6 @@
                 await fleet.clock.sleep(7.0)
                 holder.view.cut = False
                 await fleet.clock.sleep(1.0)
-            check_turns(fleet)
+            check_order_gaps(fleet)
 
         run_fleet(work)
