--- a/src/verbenawind/gateway/balance.py
+++ b/src/verbenawind/gateway/balance.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server that is expected to answer first."""
+"""Load balancing: selects the backend server with the lowest expected response time."""
 
 from collections.abc import Collection, Sequence
 
@@ -6,23 +6,23 @@
 from verbenawind.gateway.directory import Backend
 from verbenawind.kernel.messages import Location, Value
 
-__all__ = ["Choice", "choose", "no_server"]
+__all__ = ["Choice", "choose", "no_server_error"]
 
-# Usual round trips, until measured latencies outweigh them.
-_OTHER_ZONE_S = 0.003
-_OTHER_REGION_S = 0.025
+# Typical round-trip times, which dominate until latencies have been measured.
+_CROSS_ZONE_S = 0.003
+_CROSS_REGION_S = 0.025
 _NO_SERVER_RETRY_S = 0.5
 
 
-def no_server(service: str) -> NoBackendServer:
-    """Return the error of a request that no server of its service could be chosen for."""
+def no_server_error(service: str) -> NoBackendServer:
+    """Return the error for a request whose service has no available server."""
     return NoBackendServer(
-        f"service {service} has no server to send to", retry_after_s=_NO_SERVER_RETRY_S
+        f"service {service} has no available server", retry_after_s=_NO_SERVER_RETRY_S
     )
 
 
 class Choice(Value, frozen=True, kw_only=True):
-    """A chosen server and what decided it."""
+    """A selected server and the reasons for its selection."""
 
     instance_id: str
     expected_s: float
@@ -34,12 +34,12 @@
 def choose(
     backends: Sequence[Backend], location: Location, excluded: Collection[str]
 ) -> tuple[Backend, Choice] | None:
-    """Return the server with the least expected time; suspected ones come last.
+    """Return the server with the lowest expected response time, suspected servers last.
 
     Args:
         backends: The servers of the service.
         location: Where this daemon runs.
-        excluded: Servers that the request was already sent to.
+        excluded: Servers that the request has already been sent to.
     """
     candidates = [backend for backend in backends if backend.instance.instance_id not in excluded]
     if not candidates:
@@ -62,12 +62,12 @@
 
 
 def _expected_s(backend: Backend, location: Location) -> float:
-    distance_s = _distance_s(backend.instance.location, location)
+    round_trip_s = _round_trip_s(backend.instance.location, location)
     queue = 1.0 + backend.outstanding / max(1, backend.instance.slots)
-    return distance_s + backend.latency_s * queue + 0.001 * backend.outstanding
+    return round_trip_s + backend.latency_s * queue + 0.001 * backend.outstanding
 
 
-def _distance_s(there: Location, here: Location) -> float:
+def _round_trip_s(there: Location, here: Location) -> float:
     if there.zone == here.zone:
         return 0.0
-    return _OTHER_ZONE_S if there.region == here.region else _OTHER_REGION_S
+    return _CROSS_ZONE_S if there.region == here.region else _CROSS_REGION_S
--- a/src/verbenawind/gateway/directory.py
+++ b/src/verbenawind/gateway/directory.py
@@ -1,4 +1,4 @@
-"""The backend servers that are registered, and what this daemon has seen of each."""
+"""The registered backend servers, with their load and health as observed by this daemon."""
 
 from collections.abc import Callable, Iterable, Sequence
 from enum import StrEnum
@@ -10,20 +10,20 @@
 
 __all__ = ["Backend", "Belief", "Directory"]
 
-# Entries that lapse while the registry's store is away are back within this time of its return.
-_RETURN_S = 2.0
-# How long the feed may have been silent before a removal is taken for such a lapse.
-_UNSETTLED_S = 1.5
+# Entries that expire during a store outage are registered again within this time after it.
+_REREGISTRATION_S = 2.0
+# Shortest feed outage after which a removal may be due to such an expiry.
+_MIN_OUTAGE_S = 1.5
 _FIRST_SUSPICION_S = 0.5
 _MAX_SUSPICION_S = 4.0
-# Weight of the newest measurement in a moving average.
-_LATENCY_GAIN = 0.3
-# An estimate without a fresh measurement halves in this time, so that a server is tried again.
-_FORGET_S = 5.0
+# Weight of the newest measurement in the moving average.
+_LATENCY_WEIGHT = 0.3
+# Latency estimates decay with this half-life, so that slow servers are tried again.
+_LATENCY_HALF_LIFE_S = 5.0
 
 
 class Belief(StrEnum):
-    """What this daemon believes of a registered server."""
+    """State of a registered server as seen by this daemon."""
 
     GOOD = "good"
     SUSPECTED = "suspected"
@@ -32,23 +32,23 @@
 
 
 class Backend:
-    """One incarnation of a backend server, with its load and health as seen from here.
+    """One incarnation of a backend server, with its load and health as seen by this daemon.
 
     Args:
-        instance: The server's own entry.
+        instance: The server's registry entry.
         clock: Time source.
     """
 
     __slots__ = (
         "_clock",
         "_failures",
-        "_heard_at_s",
+        "_last_contact_s",
         "_latency_s",
         "_measured_at_s",
         "_suspected_until_s",
-        "gone_at_s",
         "instance",
         "outstanding",
+        "removed_at_s",
         "versions",
     )
 
@@ -56,18 +56,18 @@
         self._clock = clock
         self.instance = instance
         self.outstanding = 0
-        self.gone_at_s: float | None = None
+        self.removed_at_s: float | None = None
         self.versions: dict[str, int] = dict(instance.versions)
         self._failures = 0
         self._suspected_until_s = 0.0
         self._latency_s = 0.0
         self._measured_at_s = 0.0
-        self._heard_at_s = clock.monotonic_s()
+        self._last_contact_s = clock.monotonic_s()
 
     @property
     def belief(self) -> Belief:
-        """What is believed of the server, in one word."""
-        if self.gone_at_s is not None:
+        """The state of the server as seen by this daemon."""
+        if self.removed_at_s is not None:
             return Belief.REMOVED
         if self.instance.draining:
             return Belief.DRAINING
@@ -75,8 +75,8 @@
 
     @property
     def heard_age_s(self) -> float:
-        """Time since the server last answered or failed, or was registered."""
-        return self._clock.monotonic_s() - self._heard_at_s
+        """Seconds since the server last answered or failed, or was registered."""
+        return self._clock.monotonic_s() - self._last_contact_s
 
     @property
     def suspected(self) -> bool:
@@ -85,59 +85,61 @@
 
     @property
     def latency_s(self) -> float:
-        """The usual time of an answer, 0 where none is known; an old estimate fades."""
+        """Estimated response time, or 0 without a measurement. It decays without new ones."""
         age_s = self._clock.monotonic_s() - self._measured_at_s
-        return float(self._latency_s * 0.5 ** (age_s / _FORGET_S))
+        return float(self._latency_s * 0.5 ** (age_s / _LATENCY_HALF_LIFE_S))
 
     def begin(self) -> None:
-        """Count a request that is sent."""
+        """Count a request as outstanding."""
         self.outstanding += 1
 
     def end(self) -> None:
-        """Count a request that has ended."""
+        """Count an outstanding request as ended."""
         self.outstanding -= 1
 
     def succeeded(self, latency_s: float) -> None:
-        """Record an answer and the time that it took."""
+        """Record a successful answer and its response time."""
         self._failures = 0
         self._suspected_until_s = 0.0
-        self._heard_at_s = self._clock.monotonic_s()
+        self._last_contact_s = self._clock.monotonic_s()
         known_s = self.latency_s
-        self._latency_s = known_s + _LATENCY_GAIN * (latency_s - known_s) if known_s else latency_s
+        self._latency_s = (
+            known_s + _LATENCY_WEIGHT * (latency_s - known_s) if known_s else latency_s
+        )
         self._measured_at_s = self._clock.monotonic_s()
 
-    def waited(self, elapsed_s: float) -> None:
-        """Record that an answer has not come for some time and is not waited for any more."""
+    def record_unanswered(self, elapsed_s: float) -> None:
+        """Record that a request was abandoned without an answer after *elapsed_s* seconds."""
         if elapsed_s > self.latency_s:
             self._latency_s = elapsed_s
             self._measured_at_s = self._clock.monotonic_s()
 
     def failed(self) -> None:
-        """Record a failure; the suspicion grows with each in a row."""
-        length_s = min(_MAX_SUSPICION_S, _FIRST_SUSPICION_S * 2**self._failures)
+        """Record a failure. Consecutive failures extend the time for which it is suspected."""
+        suspicion_s = min(_MAX_SUSPICION_S, _FIRST_SUSPICION_S * 2**self._failures)
         self._failures += 1
-        self._heard_at_s = self._clock.monotonic_s()
-        self._suspected_until_s = self._heard_at_s + length_s
+        self._last_contact_s = self._clock.monotonic_s()
+        self._suspected_until_s = self._last_contact_s + suspicion_s
 
     def learn_version(self, model: str, version: int) -> None:
-        """Record what the server itself says of a model's weights."""
+        """Record the weight version of a model that the server reported."""
         self.versions[model] = version
 
 
 class Directory:
-    """Knows the servers of each service that may be given work.
+    """Tracks the registered servers and finds those that may be sent requests.
 
     Args:
         clock: Time source.
     """
 
-    __slots__ = ("_backends", "_clock", "_listeners", "_log", "_unsettled_at_s")
+    __slots__ = ("_backends", "_clock", "_feed_recovered_at_s", "_listeners", "_log")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._backends: dict[str, Backend] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._unsettled_at_s = float("-inf")
+        self._feed_recovered_at_s = float("-inf")
         self._log = structlog.get_logger("directory")
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -145,47 +147,55 @@
         self._listeners.append(listener)
 
     def feed_returned(self, silent_s: float) -> None:
-        """Note that the registry is heard again after a silence."""
-        if silent_s > _UNSETTLED_S:
-            self._unsettled_at_s = self._clock.monotonic_s()
+        """Record that the registry feed works again after an outage of *silent_s* seconds."""
+        if silent_s > _MIN_OUTAGE_S:
+            self._feed_recovered_at_s = self._clock.monotonic_s()
 
     def put(self, instance: Instance) -> None:
-        """Take in a server's entry."""
+        """Add or update a server's registry entry."""
         known = self._backends.get(instance.instance_id)
         if known is not None and known.instance.started_ms == instance.started_ms:
             if known.instance.draining and not instance.draining:
-                # A server that has said that it leaves stays leaving in this incarnation.
+                # An incarnation that has announced that it is draining never becomes active again.
                 return
             changed = known.instance.versions != instance.versions
-            if known.instance.draining != instance.draining or changed or known.gone_at_s:
-                self._log.info("server_changed", **_fields(instance))
+            if known.instance.draining != instance.draining or changed or known.removed_at_s:
+                self._log.info("server_changed", **_log_fields(instance))
             known.instance = instance
-            known.gone_at_s = None
+            known.removed_at_s = None
             if changed:
                 known.versions.update(instance.versions)
         else:
             self._backends[instance.instance_id] = Backend(instance, self._clock)
-            self._log.info("server_registered", **_fields(instance))
-        self._changed()
+            self._log.info("server_registered", **_log_fields(instance))
+        self._notify_listeners()
 
     def remove(self, instance_id: str) -> None:
-        """Take in that an entry is gone."""
+        """Remove a server's registry entry.
+
+        Shortly after an outage of the feed the server is kept for some time, since its entry may
+        have expired in the outage.
+        """
         known = self._backends.get(instance_id)
         if known is None:
             return
         now_s = self._clock.monotonic_s()
-        unsettled = now_s - self._unsettled_at_s < _RETURN_S
-        known.gone_at_s = now_s + (_RETURN_S if unsettled else 0.0)
+        after_outage = now_s - self._feed_recovered_at_s < _REREGISTRATION_S
+        known.removed_at_s = now_s + (_REREGISTRATION_S if after_outage else 0.0)
         self._log.info(
             "server_entry_removed",
             server=instance_id,
-            reason="it may have lapsed while the store was away" if unsettled else "it has left",
+            reason=(
+                "its entry may have expired during a store outage"
+                if after_outage
+                else "it is no longer registered"
+            ),
         )
-        self._changed()
+        self._notify_listeners()
 
     def backends(self, service: str) -> Sequence[Backend]:
-        """Return the servers of a service that may be given new work."""
-        self._drop_gone()
+        """Return the servers of a service that may be sent new requests."""
+        self._prune_removed()
         return [
             backend
             for backend in self._backends.values()
@@ -193,27 +203,27 @@
         ]
 
     def all(self) -> Iterable[Backend]:
-        """Return every server, those that are leaving included."""
-        self._drop_gone()
+        """Return all servers, including draining ones."""
+        self._prune_removed()
         return list(self._backends.values())
 
     def get(self, instance_id: str) -> Backend | None:
         """Return a server by its id."""
         return self._backends.get(instance_id)
 
-    def _drop_gone(self) -> None:
+    def _prune_removed(self) -> None:
         now_s = self._clock.monotonic_s()
         for instance_id, backend in list(self._backends.items()):
-            if backend.gone_at_s is not None and backend.gone_at_s <= now_s:
+            if backend.removed_at_s is not None and backend.removed_at_s <= now_s:
                 del self._backends[instance_id]
                 self._log.info("server_gone", server=instance_id)
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
 
-def _fields(instance: Instance) -> dict[str, object]:
+def _log_fields(instance: Instance) -> dict[str, object]:
     return {
         "server": instance.instance_id,
         "service": instance.service,
--- a/src/verbenawind/gateway/forwarding.py
+++ b/src/verbenawind/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards a plain request to backend servers until one has answered whole."""
+"""Forwards plain requests to backend servers, with retries and hedging."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
     VerbenawindError,
 )
 from verbenawind.gateway.answers import check_answer
-from verbenawind.gateway.balance import choose, no_server
+from verbenawind.gateway.balance import choose, no_server_error
 from verbenawind.gateway.directory import Backend, Directory
 from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest, Header
 from verbenawind.gateway.types import Route, RouteKind
@@ -23,29 +23,29 @@
 
 __all__ = ["Forwarder", "Reply"]
 
-# A reply is held back until it is whole up to this size, so that a broken one can be repeated.
-_HELD_BYTES = 1024 * 1024
-# A second send of an idempotent request starts after this part of its target latency.
+# Replies up to this size are buffered completely, so that a truncated one can be retried.
+_MAX_BUFFERED_BYTES = 1024 * 1024
+# Fraction of the target latency after which another send of an idempotent request is considered.
 _HEDGE_FRACTION = 0.45
-# Looks at a request that waits.
-_MAX_HEDGES = 4
-# What another server is expected to take, against what the request has waited.
-_FASTER_FRACTION = 0.5
-# Hedges are allowed for one request in so many.
-_REQUESTS_PER_HEDGE = 4.0
-_MAX_SAVED_HEDGES = 5.0
-# Sends, those that servers refused to run included, for each send that the route allows.
-_REFUSED_SENDS_FACTOR = 2
-# When a full service has usually room again.
-_FULL_RETRY_S = 0.2
+# Number of times that hedging is considered per request.
+_MAX_HEDGE_CHECKS = 4
+# A later hedge needs a server whose expected time is below this fraction of the time waited.
+_HEDGE_WAIT_FRACTION = 0.5
+# Each request earns a fraction of a hedge token, up to a maximum number of tokens.
+_REQUESTS_PER_HEDGE_TOKEN = 4.0
+_MAX_HEDGE_TOKENS = 5.0
+# Sends per attempt that the route allows; only sends that a server refused go beyond it.
+_SENDS_PER_ATTEMPT = 2
+# Suggested retry delay when all servers refused: the service usually has capacity again then.
+_REFUSED_RETRY_AFTER_S = 0.2
 _MIN_SEND_S = 0.005
-# Shorter waits are over already.
-_LEAST_WAIT_S = 0.001
+# Shorter waits count as elapsed.
+_MIN_WAIT_S = 0.001
 _SERVER_ERROR = 500
 
 
 class Reply:
-    """A server's response for the caller; ``rest`` is what follows the held bytes."""
+    """A server's response to the caller. ``rest`` holds what follows ``body``, if anything."""
 
     __slots__ = ("body", "headers", "rest", "status")
 
@@ -59,17 +59,18 @@
 
 
 class _Exchange:
-    """The state of one caller's request between its sends.
+    """The state of a caller's request across its sends.
 
-    ``overtaken`` is set once the answer of one send makes the others needless.
+    ``possible_runs`` counts the sends that a server may have run. ``answered`` is set once one
+    send was answered, which makes the others obsolete.
     """
 
     __slots__ = (
-        "failure",
-        "hedges",
+        "answered",
+        "error_reply",
+        "hedge_checks",
         "last_error",
-        "overtaken",
-        "ran",
+        "possible_runs",
         "request",
         "route",
         "sends",
@@ -83,10 +84,10 @@
         self.service = service
         self.tried: set[str] = set()
         self.sends = 0
-        self.ran = 0
-        self.hedges = 0
-        self.overtaken = False
-        self.failure: Reply | None = None
+        self.possible_runs = 0
+        self.hedge_checks = 0
+        self.answered = False
+        self.error_reply: Reply | None = None
         self.last_error: VerbenawindError | None = None
 
     @property
@@ -95,23 +96,23 @@
 
     @property
     def may_send(self) -> bool:
-        if self.ran and not self.repeatable:
+        if self.possible_runs and not self.repeatable:
             return False
         limit = self.route.max_attempts
-        return self.ran < limit and self.sends < limit * _REFUSED_SENDS_FACTOR
+        return self.possible_runs < limit and self.sends < limit * _SENDS_PER_ATTEMPT
 
 
 class Forwarder:
-    """Sends plain requests; idempotent ones again after failures and slow starts.
+    """Forwards plain requests. Retries idempotent ones after failures and hedges slow ones.
 
     Args:
         directory: The backend servers.
-        port: Sends to them.
+        port: Sends requests to them.
         location: Where this daemon runs.
         clock: Time source.
     """
 
-    __slots__ = ("_clock", "_directory", "_hedges", "_location", "_log", "_port")
+    __slots__ = ("_clock", "_directory", "_hedge_tokens", "_location", "_log", "_port")
 
     def __init__(
         self, directory: Directory, port: BackendPort, location: Location, clock: Clock
@@ -120,47 +121,53 @@
         self._port = port
         self._location = location
         self._clock = clock
-        self._hedges = _MAX_SAVED_HEDGES
+        self._hedge_tokens = _MAX_HEDGE_TOKENS
         self._log = structlog.get_logger("gateway")
 
     async def forward(self, request: CallerRequest, route: Route, service: str) -> Reply:
-        """Return the reply of the first server that answers whole.
+        """Return the first complete reply of a server.
 
         Raises:
-            VerbenawindError: No server did; the outcome says whether the request may have run.
+            VerbenawindError: No server replied. The outcome tells whether the request may have run.
         """
         exchange = _Exchange(request, route, service)
-        self._hedges = min(_MAX_SAVED_HEDGES, self._hedges + 1.0 / _REQUESTS_PER_HEDGE)
+        self._hedge_tokens = min(
+            _MAX_HEDGE_TOKENS, self._hedge_tokens + 1.0 / _REQUESTS_PER_HEDGE_TOKEN
+        )
         sends: set[asyncio.Task[Reply]] = set()
-        hedge_at_s = self._clock.monotonic_s() + _HEDGE_FRACTION * route.target_latency_s
+        hedge_check_at_s = self._clock.monotonic_s() + _HEDGE_FRACTION * route.target_latency_s
         try:
             while True:
-                if not sends and (task := self._start(exchange)) is not None:
+                if not sends and (task := self._start_send(exchange)) is not None:
                     sends.add(task)
                 if not sends:
-                    return self._give_up(exchange)
-                reply = await self._first(exchange, sends, hedge_at_s)
+                    return self._finish_unanswered(exchange)
+                reply = await self._wait_for_send(exchange, sends, hedge_check_at_s)
                 if reply is not None:
-                    exchange.overtaken = True
+                    exchange.answered = True
                     return reply
                 now_s = self._clock.monotonic_s()
-                if now_s >= request.deadline_s - _LEAST_WAIT_S:
-                    return self._give_up(exchange)
-                if sends and now_s >= hedge_at_s - _LEAST_WAIT_S:
-                    hedge_at_s = self._next_hedge_s(exchange, now_s)
-                    if (task := self._hedge(exchange)) is not None:
+                if now_s >= request.deadline_s - _MIN_WAIT_S:
+                    return self._finish_unanswered(exchange)
+                if sends and now_s >= hedge_check_at_s - _MIN_WAIT_S:
+                    hedge_check_at_s = self._next_hedge_check_s(exchange, now_s)
+                    if (task := self._start_hedge(exchange)) is not None:
                         sends.add(task)
         finally:
             for task in sends:
                 task.cancel()
 
-    async def _first(
-        self, exchange: _Exchange, sends: set[asyncio.Task[Reply]], hedge_at_s: float
+    async def _wait_for_send(
+        self, exchange: _Exchange, sends: set[asyncio.Task[Reply]], hedge_check_at_s: float
     ) -> Reply | None:
-        """Wait for a send to end, the hedge to be due or the deadline; return a good reply."""
+        """Wait until a send ends, a hedge check is due or the deadline passes.
+
+        Returns:
+            The reply to forward, or None if there is none yet.
+        """
         now_s = self._clock.monotonic_s()
-        until_s = min(exchange.request.deadline_s, max(hedge_at_s, now_s))
-        if hedge_at_s <= now_s + _LEAST_WAIT_S:
+        until_s = min(exchange.request.deadline_s, max(hedge_check_at_s, now_s))
+        if hedge_check_at_s <= now_s + _MIN_WAIT_S:
             until_s = exchange.request.deadline_s
         done, _ = await asyncio.wait(
             sends, timeout=max(0.0, until_s - now_s), return_when=asyncio.FIRST_COMPLETED
@@ -174,34 +181,35 @@
                 continue
             if reply.status < _SERVER_ERROR or not exchange.repeatable:
                 return reply
-            exchange.failure = reply
+            exchange.error_reply = reply
         return None
 
-    def _next_hedge_s(self, exchange: _Exchange, now_s: float) -> float:
-        """Return when to look again whether a further send would be answered sooner."""
-        exchange.hedges += 1
-        if exchange.hedges >= _MAX_HEDGES:
+    def _next_hedge_check_s(self, exchange: _Exchange, now_s: float) -> float:
+        """Return the time of the next hedge check."""
+        exchange.hedge_checks += 1
+        if exchange.hedge_checks >= _MAX_HEDGE_CHECKS:
             return exchange.request.deadline_s
         return now_s + _HEDGE_FRACTION * exchange.route.target_latency_s
 
-    def _hedge(self, exchange: _Exchange) -> asyncio.Task[Reply] | None:
-        """Start a further send of a request that waits.
+    def _start_hedge(self, exchange: _Exchange) -> asyncio.Task[Reply] | None:
+        """Start another send of a pending request if that is likely to be faster.
 
-        The first look may use a saved hedge; later ones need a server that is expected to answer
-        in much less time than the request has waited, which no server is where all are slow.
+        The first check may use a hedge token. Later checks, or the first without a token, need a
+        server whose expected time is much shorter than the time waited. If all servers are slow,
+        none qualifies, and hedging adds no load.
         """
         if not exchange.repeatable:
             return None
-        if exchange.hedges == 1 and self._hedges >= 1.0:
-            self._hedges -= 1.0
-            return self._start(exchange)
+        if exchange.hedge_checks == 1 and self._hedge_tokens >= 1.0:
+            self._hedge_tokens -= 1.0
+            return self._start_send(exchange)
         chosen = choose(self._directory.backends(exchange.service), self._location, exchange.tried)
         waited_s = self._clock.monotonic_s() - exchange.request.arrived_s
-        if chosen is None or chosen[1].expected_s > _FASTER_FRACTION * waited_s:
+        if chosen is None or chosen[1].expected_s > _HEDGE_WAIT_FRACTION * waited_s:
             return None
-        return self._start(exchange)
+        return self._start_send(exchange)
 
-    def _start(self, exchange: _Exchange) -> asyncio.Task[Reply] | None:
+    def _start_send(self, exchange: _Exchange) -> asyncio.Task[Reply] | None:
         request = exchange.request
         remaining_s = request.deadline_s - self._clock.monotonic_s()
         if not exchange.may_send or remaining_s < _MIN_SEND_S:
@@ -212,7 +220,7 @@
         backend, choice = chosen
         exchange.tried.add(choice.instance_id)
         exchange.sends += 1
-        exchange.ran += 1
+        exchange.possible_runs += 1
         self._log.info(
             "request_sent",
             request_id=request.request_id,
@@ -242,27 +250,27 @@
         try:
             answer = await self._port.send(backend.instance, attempt)
             check_answer(answer, backend.instance.instance_id)
-            reply = await _held(answer)
+            reply = await _read_buffered(answer)
             answer = reply.rest
         except (AdmissionRefused, BackendServerUnreachable) as error:
-            exchange.ran -= 1
+            exchange.possible_runs -= 1
             backend.failed()
-            self._note(exchange, backend, error)
+            self._log_failure(exchange, backend, error)
             raise
         except BackendServerFailed as error:
             backend.failed()
-            self._note(exchange, backend, error)
+            self._log_failure(exchange, backend, error)
             raise
         except asyncio.CancelledError:
             if answer is not None:
                 answer.close()
-            if exchange.overtaken:
-                backend.waited(self._clock.monotonic_s() - started_s)
+            if exchange.answered:
+                backend.record_unanswered(self._clock.monotonic_s() - started_s)
             raise
         backend.succeeded(self._clock.monotonic_s() - started_s)
         return reply
 
-    def _note(self, exchange: _Exchange, backend: Backend, error: VerbenawindError) -> None:
+    def _log_failure(self, exchange: _Exchange, backend: Backend, error: VerbenawindError) -> None:
         self._log.info(
             "send_failed",
             request_id=exchange.request.request_id,
@@ -271,34 +279,35 @@
             may_have_run=isinstance(error, BackendServerFailed),
         )
 
-    def _give_up(self, exchange: _Exchange) -> Reply:
-        """Return a server's own failure, or raise what is known."""
-        if exchange.failure is not None:
-            return exchange.failure
+    def _finish_unanswered(self, exchange: _Exchange) -> Reply:
+        """Return a server's own error reply, or raise an error if there is none."""
+        if exchange.error_reply is not None:
+            return exchange.error_reply
         request = exchange.request
-        outcome = Outcome.MAY_HAVE_RUN if exchange.ran > 0 else Outcome.NOT_RUN
+        outcome = Outcome.MAY_HAVE_RUN if exchange.possible_runs > 0 else Outcome.NOT_RUN
         if self._clock.monotonic_s() >= request.deadline_s - _MIN_SEND_S:
             raise DeadlineExceeded(
-                f"request {request.request_id} was not answered in time", outcome=outcome
+                f"request {request.request_id} was not answered before its deadline",
+                outcome=outcome,
             )
         if exchange.sends == 0:
-            raise no_server(exchange.service)
+            raise no_server_error(exchange.service)
         if outcome is Outcome.NOT_RUN:
             raise AdmissionRefused(
-                f"{exchange.sends} servers of {exchange.service} refused the request",
-                retry_after_s=_FULL_RETRY_S,
+                f"{exchange.sends} servers of service {exchange.service} refused the request",
+                retry_after_s=_REFUSED_RETRY_AFTER_S,
             )
         reason = exchange.last_error.message if exchange.last_error else "no answer"
         raise BackendServerFailed(f"request {request.request_id} failed: {reason}")
 
 
-async def _held(answer: Answer) -> Reply:
-    """Read the body, up to the size that is held back."""
+async def _read_buffered(answer: Answer) -> Reply:
+    """Read the body, up to the buffer limit."""
     parts: list[bytes] = []
     size_bytes = 0
     while data := await answer.chunk():
         parts.append(data)
         size_bytes += len(data)
-        if size_bytes > _HELD_BYTES:
+        if size_bytes > _MAX_BUFFERED_BYTES:
             return Reply(answer.status, answer.headers, b"".join(parts), answer)
     return Reply(answer.status, answer.headers, b"".join(parts), None)
--- a/src/verbenawind/gateway/streaming.py
+++ b/src/verbenawind/gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Forwards an event stream, and goes on with it elsewhere where the route allows."""
+"""Forwards event streams, and resumes them on another server where the route allows."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -15,7 +15,7 @@
     VerbenawindError,
 )
 from verbenawind.gateway.answers import check_answer
-from verbenawind.gateway.balance import choose, no_server
+from verbenawind.gateway.balance import choose, no_server_error
 from verbenawind.gateway.directory import Backend, Directory
 from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest
 from verbenawind.gateway.types import Route
@@ -23,17 +23,17 @@
 
 __all__ = ["StreamForwarder"]
 
-# A stream that gives no event for so long goes on elsewhere, where it may.
-_STALL_S = 1.0
+# A resumable stream without an event for this long is resumed on another server.
+_STALL_TIMEOUT_S = 1.0
 _OK = 200
 
 
 class StreamForwarder:
-    """Forwards streams event by event.
+    """Forwards event streams event by event.
 
     Args:
         directory: The backend servers.
-        port: Sends to them.
+        port: Sends requests to them.
         location: Where this daemon runs.
         clock: Time source.
     """
@@ -52,17 +52,17 @@
     async def forward(
         self, request: CallerRequest, route: Route, service: str
     ) -> AsyncGenerator[Answer | bytes, None]:
-        """Yield the first server's response head, then the bytes of each whole event.
+        """Yield the first server's response head, then the bytes of each complete event.
 
         Raises:
-            VerbenawindError: The stream did not begin, or broke off and may not go on.
+            VerbenawindError: The stream did not start, or broke and cannot be resumed.
         """
         tried: set[str] = set()
-        begun: Answer | None = None
+        first_answer: Answer | None = None
         last_id = request.resume_after
         sends = 0
         error: VerbenawindError | None = None
-        while sends < route.max_attempts and (begun is None or route.resumable):
+        while sends < route.max_attempts and (first_answer is None or route.resumable):
             chosen = choose(self._directory.backends(service), self._location, tried)
             if chosen is None:
                 break
@@ -85,8 +85,8 @@
             answer: Answer | None = None
             try:
                 answer = await self._open(backend, request, remaining_s, last_id)
-                if begun is None:
-                    begun = answer
+                if first_answer is None:
+                    first_answer = answer
                     yield answer
                     if answer.status != _OK:
                         while data := await answer.chunk():
@@ -95,14 +95,14 @@
                 async for event_id, raw in self._events(answer, route):
                     if last_id is not None and event_id != last_id + 1:
                         raise BackendServerFailed(
-                            f"event {event_id} came after {last_id} of {request.request_id}"
+                            f"event {event_id} followed {last_id} in stream {request.request_id}"
                         )
                     last_id = event_id
                     yield raw
                 backend.succeeded(0.0)
                 return
             except (AdmissionRefused, BackendServerUnreachable) as refusal:
-                sends -= 1 if begun is None else 0
+                sends -= 1 if first_answer is None else 0
                 error = refusal
                 backend.failed()
             except BackendServerFailed as failure:
@@ -121,7 +121,7 @@
                 backend.end()
                 if answer is not None:
                     answer.close()
-        raise self._ending(request, service, error, sends)
+        raise self._final_error(request, service, error, sends)
 
     async def _open(
         self, backend: Backend, request: CallerRequest, remaining_s: float, last_id: int | None
@@ -141,23 +141,25 @@
     ) -> AsyncGenerator[tuple[int, bytes], None]:
         while True:
             try:
-                async with asyncio.timeout(_STALL_S if route.resumable else None):
+                async with asyncio.timeout(_STALL_TIMEOUT_S if route.resumable else None):
                     events = await answer.events()
             except TimeoutError as error:
-                raise BackendServerFailed(f"the stream gave no event for {_STALL_S} s") from error
+                raise BackendServerFailed(
+                    f"the stream sent no event for {_STALL_TIMEOUT_S} s"
+                ) from error
             if events is None:
                 return
             for event in events:
                 yield event.event_id, event.raw
 
-    def _ending(
+    def _final_error(
         self, request: CallerRequest, service: str, error: VerbenawindError | None, sends: int
     ) -> VerbenawindError:
         if error is not None:
             return error
         if sends:
             return DeadlineExceeded(
-                f"stream {request.request_id} was not answered in time",
+                f"stream {request.request_id} was not answered before its deadline",
                 outcome=Outcome.MAY_HAVE_RUN,
             )
-        return no_server(service)
+        return no_server_error(service)
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon believes of registered servers."""
+"""Tests of the directory of registered servers."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 def instance(**changes: object) -> Instance:
-    """Return a server's entry."""
+    """Return a server's registry entry."""
     entry = Instance(
         instance_id="s1",
         service="pool",
@@ -23,8 +23,8 @@
 
 
 class TestEntries:
-    def test_leaving_server_gets_no_work_and_stays_leaving(self) -> None:
-        """A server that has said that it leaves is not believed to be back in one incarnation."""
+    def test_draining_server_stays_draining(self) -> None:
+        """A draining server gets no requests until it registers a new incarnation."""
         directory = Directory(SetClock())
         directory.put(instance())
         assert directory.backends("pool")
@@ -34,8 +34,8 @@
         directory.put(instance(started_ms=2))
         assert directory.backends("pool")
 
-    def test_new_incarnation_knows_nothing_of_before(self) -> None:
-        """A server that started again under its id has no load and no past failures."""
+    def test_new_incarnation_starts_without_history(self) -> None:
+        """A server that restarts under the same id has no outstanding requests or failures."""
         directory = Directory(SetClock())
         directory.put(instance())
         before = directory.backends("pool")[0]
@@ -45,15 +45,15 @@
         (after,) = directory.backends("pool")
         assert after is not before and after.outstanding == 0 and not after.suspected
 
-    def test_removed_entry_is_gone_at_once(self) -> None:
-        """While the registry is heard, a removed entry means a server that has left."""
+    def test_removed_server_gets_no_requests(self) -> None:
+        """While the registry feed works, a removed entry takes effect at once."""
         directory = Directory(SetClock())
         directory.put(instance())
         directory.remove("s1")
         assert not directory.backends("pool")
 
-    def test_entry_that_lapsed_in_an_outage_has_two_seconds(self) -> None:
-        """Right after an outage a removed entry may come back; after two seconds it is gone."""
+    def test_entry_removed_after_an_outage_is_kept_for_two_seconds(self) -> None:
+        """An entry that expired in an outage may return, so it is removed after two seconds."""
         clock = SetClock()
         directory = Directory(clock)
         directory.put(instance())
@@ -65,8 +65,8 @@
         clock.now_s = 12.1
         assert not directory.backends("pool")
 
-    def test_entry_that_comes_back_stays(self) -> None:
-        """A lapsed entry that is written again is an ordinary one."""
+    def test_entry_that_is_registered_again_stays(self) -> None:
+        """An expired entry that is registered again is no longer pending removal."""
         clock = SetClock()
         directory = Directory(clock)
         directory.put(instance())
@@ -79,8 +79,8 @@
 
 
 class TestHealth:
-    def test_suspicion_grows_and_ends(self) -> None:
-        """Failures in a row make a server suspect for longer; an answer clears it."""
+    def test_suspicion_grows_and_is_cleared(self) -> None:
+        """Consecutive failures extend the suspicion; an answer clears it."""
         clock = SetClock()
         directory = Directory(clock)
         directory.put(instance())
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of plain requests under slow, dark, full and failing servers, on virtual time."""
+"""Tests of forwarding to slow, silent, busy and failing servers, on virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,8 +13,8 @@
 TARGET_S = 0.24
 
 
-class Desk:
-    """A forwarder over some servers, and requests to it."""
+class Harness:
+    """A forwarder with simulated servers, and requests to it."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -23,17 +23,17 @@
         self.forwarder = Forwarder(self.directory, fleet.engines, location, fleet.clock)
 
     def engine(self, index: int) -> OpaqueEngine:
-        """Return a server."""
+        """Return a server by its index."""
         return self.fleet.engines.engines[f"engine-{index}"]
 
-    def starts(self) -> int:
-        """Return how many runs there were."""
+    def run_count(self) -> int:
+        """Return the number of requests that the servers ran."""
         return sum(len(engine.started) for engine in self.fleet.engines.engines.values())
 
     async def ask(
-        self, number: int = 0, kind: RouteKind = RouteKind.IDEMPOTENT, patience_s: float = 3.0
+        self, number: int = 0, kind: RouteKind = RouteKind.IDEMPOTENT, timeout_s: float = 3.0
     ) -> Reply | VerbenawindError:
-        """Send one request and return its reply, or what is known of its failure."""
+        """Send a request and return the reply or the error."""
         now_s = self.fleet.clock.monotonic_s()
         request = CallerRequest(
             request_id=f"r{number}",
@@ -43,7 +43,7 @@
             headers=(),
             body=b"7",
             arrived_s=now_s,
-            deadline_s=now_s + patience_s,
+            deadline_s=now_s + timeout_s,
         )
         route = Route(
             name="plain",
@@ -61,13 +61,13 @@
         except VerbenawindError as error:
             return error
 
-    async def times(self, count: int, gap_s: float) -> list[float]:
-        """Return how long requests at a steady rate took; a failure counts as endless."""
+    async def response_times(self, count: int, gap_s: float) -> list[float]:
+        """Send requests at a steady rate and return their response times, infinite for errors."""
 
         async def one(number: int) -> float:
-            began_s = self.fleet.clock.monotonic_s()
+            started_s = self.fleet.clock.monotonic_s()
             reply = await self.ask(number)
-            took_s = self.fleet.clock.monotonic_s() - began_s
+            took_s = self.fleet.clock.monotonic_s() - started_s
             return took_s if isinstance(reply, Reply) else float("inf")
 
         tasks = []
@@ -77,113 +77,113 @@
         return list(await asyncio.gather(*tasks))
 
 
-def run_desk(work: Callable[[Desk], Awaitable[None]], *, engines: int = 3) -> None:
-    """Run *work* over servers that take 40 ms for a request."""
+def run_harness(work: Callable[[Harness], Awaitable[None]], *, engines: int = 3) -> None:
+    """Run *work* with servers that take 40 ms per request."""
 
-    async def whole(fleet: Fleet) -> None:
+    async def run(fleet: Fleet) -> None:
         await fleet.start(hosts=1, engines=engines)
         for engine in fleet.engines.engines.values():
             engine.pace_s = 0.04
-        await work(Desk(fleet))
+        await work(Harness(fleet))
 
-    run_fleet(whole)
+    run_fleet(run)
 
 
 class TestLoads:
-    def test_one_dark_server_costs_few_their_target(self) -> None:
-        """Pattern: one of three servers falls silent. All are answered, nearly all in time."""
+    def test_one_silent_server_delays_few_requests(self) -> None:
+        """If one of three servers stops answering, all requests succeed, nearly all in time."""
 
-        async def work(desk: Desk) -> None:
-            desk.engine(0).dark = True
-            times = await desk.times(100, 0.05)
+        async def work(harness: Harness) -> None:
+            harness.engine(0).dark = True
+            times = await harness.response_times(100, 0.05)
             assert max(times) < 1.0
             assert sum(took_s <= TARGET_S for took_s in times) >= 97
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_one_slow_server_gets_little(self) -> None:
-        """Pattern: one of three servers turns ten times slower. Most go elsewhere."""
+    def test_one_slow_server_gets_few_requests(self) -> None:
+        """If one of three servers is ten times slower, most requests go to the others."""
 
-        async def work(desk: Desk) -> None:
-            desk.engine(0).pace_s = 0.4
-            times = await desk.times(100, 0.05)
+        async def work(harness: Harness) -> None:
+            harness.engine(0).pace_s = 0.4
+            times = await harness.response_times(100, 0.05)
             assert max(times) < 1.0
-            assert len(desk.engine(0).started) < 20
+            assert len(harness.engine(0).started) < 20
             assert sum(took_s <= TARGET_S for took_s in times) >= 95
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_all_servers_slow_adds_few_runs(self) -> None:
-        """Pattern: the whole service is slow. Second sends stay rare and do not double the load."""
+    def test_slow_service_adds_few_hedges(self) -> None:
+        """If all servers are slow, hedges remain rare and do not double the load."""
 
-        async def work(desk: Desk) -> None:
+        async def work(harness: Harness) -> None:
             for index in range(3):
-                desk.engine(index).pace_s = 0.3
-            times = await desk.times(100, 0.1)
+                harness.engine(index).pace_s = 0.3
+            times = await harness.response_times(100, 0.1)
             assert max(times) < 2.0
-            assert desk.starts() <= 100 * 1.35
+            assert harness.run_count() <= 100 * 1.35
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_burst_spreads_evenly(self) -> None:
-        """Pattern: a burst at once. Every server gets its part."""
+    def test_burst_is_spread_evenly(self) -> None:
+        """Simultaneous requests are distributed evenly over the servers."""
 
-        async def work(desk: Desk) -> None:
-            await desk.times(24, 0.0)
-            assert [len(desk.engine(index).started) for index in range(3)] == [8, 8, 8]
+        async def work(harness: Harness) -> None:
+            await harness.response_times(24, 0.0)
+            assert [len(harness.engine(index).started) for index in range(3)] == [8, 8, 8]
 
-        run_desk(work)
+        run_harness(work)
 
 
 class TestOutcomes:
-    def test_once_only_request_is_not_repeated(self) -> None:
-        """A request that may run once is given up when its answer is lost, as perhaps run."""
+    def test_non_idempotent_request_is_not_repeated(self) -> None:
+        """A non-idempotent request whose answer is lost fails with the outcome may_have_run."""
 
-        async def work(desk: Desk) -> None:
+        async def work(harness: Harness) -> None:
             for index in range(3):
-                desk.engine(index).dark = True
-            reply = await desk.ask(kind=RouteKind.NON_IDEMPOTENT, patience_s=0.5)
+                harness.engine(index).dark = True
+            reply = await harness.ask(kind=RouteKind.NON_IDEMPOTENT, timeout_s=0.5)
             assert isinstance(reply, VerbenawindError)
             assert reply.outcome is Outcome.MAY_HAVE_RUN
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_nothing_is_claimed_not_run_that_was_sent(self) -> None:
-        """With one server dark and the others down, the answer does not promise anything."""
+    def test_sent_request_is_not_reported_as_not_run(self) -> None:
+        """If one server is silent and the others are down, the outcome is may_have_run."""
 
-        async def work(desk: Desk) -> None:
-            desk.engine(0).dark = True
-            desk.engine(1).down = desk.engine(2).down = True
-            reply = await desk.ask(patience_s=0.6)
+        async def work(harness: Harness) -> None:
+            harness.engine(0).dark = True
+            harness.engine(1).down = harness.engine(2).down = True
+            reply = await harness.ask(timeout_s=0.6)
             assert isinstance(reply, VerbenawindError)
             assert reply.outcome is Outcome.MAY_HAVE_RUN
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_servers_that_are_down_cost_nothing(self) -> None:
-        """A request that reached nobody is refused at once as not run, with a time to return."""
+    def test_unreachable_servers_fail_fast(self) -> None:
+        """A request that reached no server fails at once as not_run, with a retry time."""
 
-        async def work(desk: Desk) -> None:
+        async def work(harness: Harness) -> None:
             for index in range(3):
-                desk.engine(index).down = True
-            began_s = desk.fleet.clock.monotonic_s()
-            reply = await desk.ask()
+                harness.engine(index).down = True
+            started_s = harness.fleet.clock.monotonic_s()
+            reply = await harness.ask()
             assert isinstance(reply, VerbenawindError)
             assert reply.outcome is Outcome.NOT_RUN and reply.retry_after_s
-            assert desk.fleet.clock.monotonic_s() - began_s < 0.05
+            assert harness.fleet.clock.monotonic_s() - started_s < 0.05
 
-        run_desk(work)
+        run_harness(work)
 
-    def test_caller_that_leaves_ends_the_run(self) -> None:
-        """A forward that is cancelled leaves nothing running."""
+    def test_cancelled_request_stops_the_servers(self) -> None:
+        """Cancelling a forwarded request ends its runs on all servers."""
 
-        async def work(desk: Desk) -> None:
+        async def work(harness: Harness) -> None:
             for index in range(3):
-                desk.engine(index).pace_s = 5.0
-            task = asyncio.ensure_future(desk.ask())
-            await desk.fleet.clock.sleep(0.1)
+                harness.engine(index).pace_s = 5.0
+            task = asyncio.ensure_future(harness.ask())
+            await harness.fleet.clock.sleep(0.1)
             task.cancel()
-            await desk.fleet.clock.sleep(0.1)
-            assert all(desk.engine(index).running == 0 for index in range(3))
+            await harness.fleet.clock.sleep(0.1)
+            assert all(harness.engine(index).running == 0 for index in range(3))
 
-        run_desk(work)
+        run_harness(work)
