--- a/src/verbenawind/gateway/__init__.py
+++ b/src/verbenawind/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Routes opaque requests by host and path to registered backend servers."""
+"""Routes requests by host and path to registered backend servers, without reading the bodies."""
 
 from verbenawind.gateway.directory import Backend, Belief, Directory
 from verbenawind.gateway.forwarding import Forwarder, Reply
--- a/src/verbenawind/gateway/events.py
+++ b/src/verbenawind/gateway/events.py
@@ -1,4 +1,4 @@
-"""Reads the events of a ``text/event-stream`` body as whole events."""
+"""Incremental parser for ``text/event-stream`` bodies."""
 
 from collections.abc import Sequence
 
@@ -7,12 +7,12 @@
 
 __all__ = ["EventReader", "StreamEvent"]
 
-# A body without an end of event for so long is no event stream.
+# Without an end of event within this size, the body is not an event stream.
 _MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class StreamEvent(Value, frozen=True, kw_only=True):
-    """One event; ``version`` is set where the server's weights changed before it."""
+    """One event. ``version`` is set if the server's weights changed before it."""
 
     event_id: int
     data: str
@@ -21,10 +21,10 @@
 
 
 class EventReader:
-    """Splits a body into events; an event without its end is never returned.
+    """Splits a body into events. An incomplete event is never returned.
 
     Args:
-        version_field: The name of the line that carries a weight version, in lower case.
+        version_field: Name of the field that carries a weight version, in lower case.
     """
 
     __slots__ = ("_buffer", "_version_field")
@@ -35,20 +35,20 @@
 
     @property
     def pending(self) -> bool:
-        """Whether part of an event is held."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> Sequence[StreamEvent]:
-        """Return the events that *data* completes.
+        """Parse *data* and return the events that it completes.
 
         Raises:
-            BackendServerFailed: The bytes are no event stream.
+            BackendServerFailed: The body is not a valid event stream.
         """
         self._buffer += data.replace(b"\r\n", b"\n") if b"\r" in data else data
-        *whole, self._buffer = self._buffer.split(b"\n\n")
+        *blocks, self._buffer = self._buffer.split(b"\n\n")
         if len(self._buffer) > _MAX_EVENT_BYTES:
-            raise BackendServerFailed("an event of the stream has no end")
-        return [self._parse(block) for block in whole if block.strip(b"\n")]
+            raise BackendServerFailed("an event of the stream exceeds the size limit")
+        return [self._parse(block) for block in blocks if block.strip(b"\n")]
 
     def _parse(self, block: bytes) -> StreamEvent:
         event_id: int | None = None
@@ -65,9 +65,9 @@
                 elif name == self._version_field:
                     version = int(value)
         except ValueError as error:
-            raise BackendServerFailed(f"an event of the stream is malformed: {error}") from error
+            raise BackendServerFailed(f"malformed event in the stream: {error}") from error
         if event_id is None:
-            raise BackendServerFailed("an event of the stream has no id")
+            raise BackendServerFailed("event without an id in the stream")
         return StreamEvent(
             event_id=event_id, data="\n".join(data), version=version, raw=block + b"\n\n"
         )
--- a/src/verbenawind/gateway/ports.py
+++ b/src/verbenawind/gateway/ports.py
@@ -1,4 +1,4 @@
-"""The port towards backend servers that serve opaque requests."""
+"""Interfaces to the backend servers."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -13,9 +13,9 @@
 
 
 class CallerRequest(Value, frozen=True, kw_only=True):
-    """A caller's request as it arrived, without the headers of its connection.
+    """A caller's request as received, without the connection-specific headers.
 
-    ``deadline_s`` is monotonic time: when the caller stops waiting.
+    ``deadline_s`` is the monotonic time at which the caller stops waiting.
     """
 
     request_id: str
@@ -30,10 +30,10 @@
 
 
 class Attempt(Value, frozen=True, kw_only=True):
-    """One send of a request.
+    """One attempt to send a request to a server.
 
-    ``resume_after`` is the id of the last event that is held; ``expect_version`` the only weight
-    version that the request may begin with.
+    ``resume_after`` is the id of the last event already received. ``expect_version`` is the only
+    weight version that the request may start with.
     """
 
     request: CallerRequest
@@ -44,38 +44,38 @@
 
 
 class Answer(Protocol):
-    """A backend server's response while it arrives."""
+    """A backend server's response, whose body may still be arriving."""
 
     status: int
     headers: Sequence[Header]
 
     @property
     def refused(self) -> bool:
-        """Whether the server states that it did not run the request."""
+        """Whether the server reports that it did not run the request."""
 
     @property
     def signed(self) -> bool:
-        """Whether the response bears the server's own mark."""
+        """Whether the response carries the server's signature header."""
 
     @property
     def version(self) -> int | None:
-        """The weight version that the response began with."""
+        """The weight version at the start of the response."""
 
     async def chunk(self) -> bytes:
-        """Return the next bytes of the body, or nothing at its end."""
+        """Return the next bytes of the body, or empty bytes at its end."""
 
     async def events(self) -> Sequence[StreamEvent] | None:
-        """Return the next whole events, or None after the last one."""
+        """Return the next complete events, or None after the last one."""
 
     def close(self) -> None:
-        """Give the response up, so that the server stops its work."""
+        """Abandon the response, so that the server stops generating it."""
 
 
 class BackendPort(Protocol):
     """Sends requests to backend servers."""
 
     async def send(self, instance: Instance, attempt: Attempt) -> Answer:
-        """Return the server's response once its head has arrived.
+        """Send an attempt and return the response once its head has arrived.
 
         Raises:
             BackendServerUnreachable: Nothing was sent.
--- a/src/verbenawind/gateway/routes.py
+++ b/src/verbenawind/gateway/routes.py
@@ -27,7 +27,7 @@
             self._by_host.setdefault(route.host, {})[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest path prefix that matches.
 
         Args:
             host: The Host header, with or without a port.
@@ -43,12 +43,12 @@
         return None
 
     def knows_host(self, host: str) -> bool:
-        """Return whether a host has any route at all."""
+        """Return whether any route exists for a host."""
         return host.partition(":")[0].lower() in self._by_host
 
 
 def service_of(route: Route, request_id: str) -> str:
-    """Return the service that serves a request; a repeat under one id goes to the same one."""
+    """Return the service for a request. The same request id always maps to the same service."""
     if len(route.services) == 1:
         return route.services[0].service
     point = xxhash.xxh32_intdigest(request_id.encode()) / _HASH_SPACE
--- a/src/verbenawind/gateway/types.py
+++ b/src/verbenawind/gateway/types.py
@@ -1,4 +1,4 @@
-"""What the gateway routes by: routes, services, limits, and backend servers."""
+"""Data types of the gateway: routes, services, limits and backend servers."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -18,7 +18,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """How the requests of a route are handled, and whether they may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -27,14 +27,14 @@
 
 
 class ServiceShare(Value, frozen=True, kw_only=True):
-    """A service that serves a route, and its weight among the route's services."""
+    """A service that serves a route, with its relative traffic weight."""
 
     service: str
     weight: float
 
 
 class Route(Value, frozen=True, kw_only=True):
-    """Requests of one host below one path prefix.
+    """The settings for requests to one host and path prefix.
 
     ``result_deadline_s`` and ``retention_s`` count from a batch job's first submission.
     """
@@ -55,14 +55,14 @@
 
 
 class EngineTraits(Value, frozen=True, kw_only=True):
-    """What the operator says of a service's model engines."""
+    """The configured properties of a service's model engines."""
 
     slots: int
     models: tuple[str, ...]
 
 
 class Service(Value, frozen=True, kw_only=True):
-    """A pool of backend servers; ``engine`` is None for a plain service."""
+    """A pool of backend servers. ``engine`` is None for a service without model engines."""
 
     name: str
     max_connections: int
@@ -70,7 +70,7 @@
 
 
 class IngressLimits(Value, frozen=True, kw_only=True):
-    """What a caller may send, and how long a connection may rest."""
+    """Size and time limits for callers' requests and connections."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -79,7 +79,7 @@
 
 
 class GatewayConfiguration(Value, frozen=True, kw_only=True):
-    """One version of the operator's whole configuration."""
+    """One version of the operator's complete configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -88,10 +88,10 @@
 
 
 class Instance(Value, frozen=True, kw_only=True):
-    """A backend server as it registered itself.
+    """The registry entry of a backend server.
 
-    ``started_ms`` tells incarnations under one id apart. ``versions`` holds the weight version
-    of each model that an engine serves.
+    ``started_ms`` distinguishes incarnations with the same id. ``versions`` maps each model that
+    an engine serves to its weight version.
     """
 
     instance_id: str
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of event streams that arrive in pieces."""
+"""Tests of parsing event streams incrementally."""
 
 import pytest
 from hypothesis import given
@@ -17,8 +17,8 @@
 
 
 class TestReader:
-    def test_whole_body(self) -> None:
-        """Ids, data of several lines and versions are read."""
+    def test_complete_body(self) -> None:
+        """Ids, multi-line data and versions are parsed."""
         events = read([BODY])
         assert [(e.event_id, e.data, e.version) for e in events] == [
             (1, "a b", None),
@@ -28,21 +28,21 @@
         assert b"".join(event.raw for event in events) == BODY
 
     @given(st.lists(st.integers(0, len(BODY)), max_size=12))
-    def test_pieces_make_no_difference(self, cuts: list[int]) -> None:
-        """However the bytes are cut, the events are the same."""
+    def test_result_does_not_depend_on_chunks(self, cuts: list[int]) -> None:
+        """The events do not depend on how the body is divided into chunks."""
         ends = [*sorted(cuts), len(BODY)]
         pieces = [BODY[a:b] for a, b in zip([0, *ends], ends, strict=False)]
         assert read(pieces) == read([BODY])
 
-    def test_half_an_event_is_pending(self) -> None:
-        """An event without its end is never returned, and known to be missing."""
+    def test_incomplete_event_is_pending(self) -> None:
+        """An incomplete event is not returned, but reported as pending."""
         reader = EventReader("weights")
         assert reader.feed(b"id: 1\ndata: a\n") == []
         assert reader.pending
         assert len(reader.feed(b"\n")) == 1 and not reader.pending
 
-    def test_garbage_is_refused(self) -> None:
-        """Bytes that are no events fail the stream."""
+    def test_malformed_stream_is_refused(self) -> None:
+        """A malformed event raises an error."""
         for body in (
             b"nonsense\n\n",
             b"id: x\ndata: a\n\n",
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of routes by host and prefix, and of what a route's weights mean."""
+"""Tests of route matching by host and prefix, and of the weights of services."""
 
 import math
 
@@ -21,7 +21,7 @@
 
 
 def route(prefix: str, host: str = "a.example", *shares: ServiceShare) -> Route:
-    """Return a route below a prefix, which is also its name."""
+    """Return a route for a path prefix, which is also its name."""
     return Route(
         name=prefix,
         host=host,
@@ -36,13 +36,13 @@
 
 
 def table(*routes: Route) -> RouteTable:
-    """Return the table of a configuration with these routes."""
+    """Return a route table for these routes."""
     return RouteTable(GatewayConfiguration(version=1, routes=routes, services={}, limits=LIMITS))
 
 
 class TestMatch:
     def test_longest_prefix_wins(self) -> None:
-        """Of the prefixes that begin a path the longest one names the route."""
+        """The longest matching prefix determines the route."""
         routes = table(route("/"), route("/a/"), route("/a/b/"))
         for path, prefix in (
             ("/", "/"),
@@ -55,8 +55,8 @@
             found = routes.match("a.example", path)
             assert found is not None and found.path_prefix == prefix
 
-    def test_host_decides_first(self) -> None:
-        """Another host has other routes; a port and letters' case do not matter."""
+    def test_host_is_matched_first(self) -> None:
+        """Each host has its own routes. The port and the case of the host are ignored."""
         routes = table(route("/a/"), route("/b/", "b.example"))
         assert routes.match("b.example", "/a/x") is None
         assert routes.match("B.example:8080", "/b/x") is not None
@@ -65,8 +65,8 @@
         st.lists(st.sampled_from(["/", "/a/", "/a/b/", "/ab/", "/a/b/c/"]), unique=True),
         st.text("/abc"),
     )
-    def test_agrees_with_a_plain_search(self, prefixes: list[str], tail: str) -> None:
-        """The route is the one that a search through all prefixes finds."""
+    def test_agrees_with_linear_search(self, prefixes: list[str], tail: str) -> None:
+        """The result is that of a linear search through all prefixes."""
         path = f"/{tail}"
         expected = max((p for p in prefixes if path.startswith(p)), key=len, default=None)
         found = table(*map(route, prefixes)).match("a.example", path)
@@ -74,8 +74,8 @@
 
 
 class TestShares:
-    def test_weights_are_kept(self) -> None:
-        """Requests are shared by weight, and one request always goes to one service."""
+    def test_weights_are_respected(self) -> None:
+        """Requests are distributed by weight, and a request id always maps to the same service."""
         shared = route(
             "/",
             "a.example",
