--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -44,7 +44,7 @@
 from verbenawind.state.table_follower import FEED_PAUSE_S, FEED_WAIT_S, TableFollower
 from verbenawind.supervision import supervise
 from verbenawind.timings import Timings
-from verbenawind.weights.desk import OrderDesk, OrderPort
+from verbenawind.weights.load_scheduler import LoadScheduler, OrderPort
 
 __all__ = ["NamedVersion", "Node", "NodeSettings", "RegistryFormat"]
 
@@ -170,8 +170,10 @@
             port=backends,
             routes=lambda: self.routes,
             newest_version=lambda model: self.newest.get(model, 1),
-            current_engines=lambda model, service: self.desk.engines_of(model, service),
-            loads_soon=lambda model, instance_id: self.desk.loads_soon(model, instance_id),
+            current_engines=lambda model, service: self.load_scheduler.engines_of(model, service),
+            loads_soon=lambda model, instance_id: self.load_scheduler.loads_soon(
+                model, instance_id
+            ),
             store_ms=store_ms,
             timings=timings,
             clock=clock,
@@ -212,7 +214,7 @@
             rank=self._lease_rank,
             rng=rng,
         )
-        self.desk = OrderDesk(
+        self.load_scheduler = LoadScheduler(
             self.directory,
             orders,
             self.lease,
@@ -248,7 +250,7 @@
             ("keeper", self.job_takeover.run),
             ("sweeper", self.sweeper.run),
             ("lease", self.lease.run),
-            ("desk", self.desk.run),
+            ("desk", self.load_scheduler.run),
         ):
             supervised = supervise(name, work, self._clock)
             self._tasks.append(asyncio.get_running_loop().create_task(supervised))
@@ -309,7 +311,7 @@
         elif said is not None and said.version > self.newest.get(said.model, 1):
             self.newest[said.model] = said.version
             self._log.info("version_named", model=said.model, version=said.version)
-            self.desk.wake()
+            self.load_scheduler.wake()
 
     def _configure(self, configuration: GatewayConfiguration) -> None:
         known = self.routes.configuration.version if self.routes is not None else None
@@ -334,7 +336,7 @@
             self._log.info("server_entry_unusable", server=instance_id, version=row.version)
             return
         self.directory.put(instance)
-        self.desk.wake()
+        self.load_scheduler.wake()
 
     def _take_host_row(self, row: StoredRow) -> None:
         if row.row_id.key == _LEASE_KEY:
@@ -349,8 +351,8 @@
         record = job.record
         is_new = record.age_s(self._store_ms()) < _NEW_JOB_S
         if record.model and record.state is JobState.OPEN and is_new:
-            self.desk.learn_lag(record.model, record.min_version)
-        self.desk.wake()
+            self.load_scheduler.learn_lag(record.model, record.min_version)
+        self.load_scheduler.wake()
 
     # Questions of the parts.
 
--- a/src/verbenawind/platform/backends.py
+++ b/src/verbenawind/platform/backends.py
@@ -20,7 +20,7 @@
     VERSION_HEADER,
 )
 from verbenawind.plugins.http1_client import Header, Http1Client, Http1Request, Http1Response
-from verbenawind.weights.desk import EngineReport
+from verbenawind.weights.load_scheduler import EngineReport
 from verbenawind.weights.rolling import LoadOrder, OrderAnswer, OrderReply, SwapMode
 
 __all__ = ["HttpAnswer", "HttpBackends"]
--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -199,7 +199,7 @@
             put("store_calls", "Calls of the store.", count, call=call, outcome=outcome)
         for end, count in self.node.runner.counts.runs.items():
             put("item_runs", "Runs of batch items, by how they ended.", count, end=end.value)
-        for answer, count in self.node.desk.counts.answers.items():
+        for answer, count in self.node.load_scheduler.counts.answers.items():
             put("orders", "Orders to engines, by their answer.", count, answer=answer)
         for feed in ("operator", "servers", "hosts", "jobs"):
             age_s = getattr(self.node, f"{feed}_feed").age_s()
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -6,7 +6,7 @@
 from verbenawind.errors import BackendServerFailed, BackendServerUnreachable
 from verbenawind.gateway import Attempt, Instance
 from verbenawind.gateway.events import StreamEvent
-from verbenawind.weights.desk import EngineReport
+from verbenawind.weights.load_scheduler import EngineReport
 from verbenawind.weights.rolling import LoadOrder, OrderAnswer, OrderReply
 
 __all__ = ["OpaqueEngine", "OpaqueEngines", "text_of"]
--- a/src/verbenawind/weights/desk.py
+++ b/src/verbenawind/weights/load_scheduler.py
@@ -24,7 +24,7 @@
     plan_loads,
 )
 
-__all__ = ["EngineReport", "OrderCounts", "OrderDesk", "OrderLease", "OrderPort"]
+__all__ = ["EngineReport", "LoadScheduler", "OrderCounts", "OrderLease", "OrderPort"]
 
 _PLAN_INTERVAL_S = 0.1
 _ORDER_TIMEOUT_S = 0.5
@@ -97,7 +97,7 @@
         self.poll_at_s = sent_at_s + load_s
 
 
-class OrderDesk:
+class LoadScheduler:
     """Plans loads and gives orders while this host holds the lease.
 
     Args:
