--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -170,7 +170,9 @@
             port=backends,
             routes=lambda: self.routes,
             newest_version=lambda model: self.newest.get(model, 1),
-            current_engines=lambda model, service: self.load_scheduler.engines_of(model, service),
+            current_engines=lambda model, service: self.load_scheduler.assigned_engines(
+                model, service
+            ),
             loads_soon=lambda model, instance_id: self.load_scheduler.loads_soon(
                 model, instance_id
             ),
@@ -351,7 +353,7 @@
         record = job.record
         is_new = record.age_s(self._store_ms()) < _NEW_JOB_S
         if record.model and record.state is JobState.OPEN and is_new:
-            self.load_scheduler.learn_lag(record.model, record.min_version)
+            self.load_scheduler.record_lag(record.model, record.min_version)
         self.load_scheduler.wake()
 
     # Questions of the parts.
--- a/src/verbenawind/weights/load_scheduler.py
+++ b/src/verbenawind/weights/load_scheduler.py
@@ -165,7 +165,7 @@
         """Plan now instead of at the next interval."""
         self._wake.set()
 
-    def learn_lag(self, model: str, min_version: int) -> None:
+    def record_lag(self, model: str, min_version: int) -> None:
         """Record how many versions behind the newest a newly submitted job accepts."""
         lag = max(0, self._newest.get(model, 1) - min_version)
         self._lags.setdefault(model, deque(maxlen=_LAG_WINDOW)).append(lag)
@@ -195,7 +195,7 @@
                 planned += self._plan(service.name, _mode(configuration, service.name))
         return planned
 
-    def engines_of(self, model: str, service: str) -> frozenset[str]:
+    def assigned_engines(self, model: str, service: str) -> frozenset[str]:
         """Return the engines of a service that are assigned to a model."""
         engines = self._directory.backends(service)
         serving = [e.instance.instance_id for e in engines if model in e.versions]
@@ -260,7 +260,7 @@
 
     def _model_engines(self, model: str, service: str, engines: Sequence[Backend]) -> ModelEngines:
         """Return the engines that are assigned to a model, as input to the plan."""
-        assigned = self.engines_of(model, service)
+        assigned = self.assigned_engines(model, service)
         return ModelEngines(
             model=model,
             engines=tuple(
