--- a/src/verbenawind/batches/outcomes.py
+++ b/src/verbenawind/batches/outcomes.py
@@ -59,7 +59,7 @@
         name = backend.instance.instance_id
         model = job.stored.record.model
         if len(work.partial.events) > events_before and work.partial.last_version is not None:
-            backend.learn_version(model, work.partial.last_version)
+            backend.record_version(model, work.partial.last_version)
         excluded_as_slow, work.excluded_as_slow = work.excluded_as_slow, False
         match outcome.end:
             case RunEnd.COMPLETE:
@@ -68,7 +68,7 @@
             case RunEnd.REFUSED:
                 if outcome.other_version and not choice.probing:
                     newest_named = self._newest_version(model)
-                    backend.learn_version(model, max(newest_named, backend.versions.get(model, 0)))
+                    backend.record_version(model, max(newest_named, backend.versions.get(model, 0)))
                 self._engines.record_refusal(name, probing=choice.probing)
                 if excluded_as_slow:
                     # Running on the slow engine is better than waiting.
@@ -86,7 +86,7 @@
                 if work.failures >= route.max_attempts:
                     self.terminate(job, work, f"failed {work.failures} times")
             case RunEnd.TOO_OLD:
-                backend.learn_version(model, 0)
+                backend.record_version(model, 0)
                 work.excluded = {name}
             case RunEnd.UNREACHABLE | RunEnd.BROKEN | RunEnd.STALLED:
                 backend.failed()
--- a/src/verbenawind/gateway/__init__.py
+++ b/src/verbenawind/gateway/__init__.py
@@ -1,6 +1,6 @@
 """Routes requests by host and path to registered backend servers, without reading the bodies."""
 
-from verbenawind.gateway.directory import Backend, Belief, Directory
+from verbenawind.gateway.directory import Backend, Directory, ServerState
 from verbenawind.gateway.forwarding import Forwarder, Reply
 from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest
 from verbenawind.gateway.routes import RouteTable, service_of
@@ -21,7 +21,6 @@
     "Attempt",
     "Backend",
     "BackendPort",
-    "Belief",
     "CallerRequest",
     "Directory",
     "EngineTraits",
@@ -33,6 +32,7 @@
     "Route",
     "RouteKind",
     "RouteTable",
+    "ServerState",
     "Service",
     "ServiceShare",
     "StreamForwarder",
--- a/src/verbenawind/gateway/directory.py
+++ b/src/verbenawind/gateway/directory.py
@@ -8,7 +8,7 @@
 from verbenawind.clock import Clock
 from verbenawind.gateway.types import Instance
 
-__all__ = ["Backend", "Belief", "Directory"]
+__all__ = ["Backend", "Directory", "ServerState"]
 
 # Entries that expire during a store outage are registered again within this time after it.
 _REREGISTRATION_S = 2.0
@@ -22,7 +22,7 @@
 _LATENCY_HALF_LIFE_S = 5.0
 
 
-class Belief(StrEnum):
+class ServerState(StrEnum):
     """State of a registered server as seen by this daemon."""
 
     GOOD = "good"
@@ -65,16 +65,16 @@
         self._last_contact_s = clock.monotonic_s()
 
     @property
-    def belief(self) -> Belief:
+    def belief(self) -> ServerState:
         """The state of the server as seen by this daemon."""
         if self.removed_at_s is not None:
-            return Belief.REMOVED
+            return ServerState.REMOVED
         if self.instance.draining:
-            return Belief.DRAINING
-        return Belief.SUSPECTED if self.suspected else Belief.GOOD
+            return ServerState.DRAINING
+        return ServerState.SUSPECTED if self.suspected else ServerState.GOOD
 
     @property
-    def heard_age_s(self) -> float:
+    def last_contact_age_s(self) -> float:
         """Seconds since the server last answered or failed, or was registered."""
         return self._clock.monotonic_s() - self._last_contact_s
 
@@ -121,7 +121,7 @@
         self._last_contact_s = self._clock.monotonic_s()
         self._suspected_until_s = self._last_contact_s + suspicion_s
 
-    def learn_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Record the weight version of a model that the server reported."""
         self.versions[model] = version
 
@@ -146,7 +146,7 @@
         """Call *listener* after each change of the registered servers."""
         self._listeners.append(listener)
 
-    def feed_returned(self, silent_s: float) -> None:
+    def feed_recovered(self, silent_s: float) -> None:
         """Record that the registry feed works again after an outage of *silent_s* seconds."""
         if silent_s > _MIN_OUTAGE_S:
             self._feed_recovered_at_s = self._clock.monotonic_s()
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -152,7 +152,7 @@
         )
 
         self.directory = Directory(clock)
-        self.servers_feed.on_response(self.directory.feed_returned)
+        self.servers_feed.on_response(self.directory.feed_recovered)
         beat = HostHeartbeat(
             host=settings.host,
             incarnation=new_id("run").removeprefix("run-"),
--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -15,7 +15,7 @@
 
 from verbenawind.clock import Clock, SystemClock, boot_time_s
 from verbenawind.errors import SettingsInvalid
-from verbenawind.gateway import Belief
+from verbenawind.gateway import ServerState
 from verbenawind.http_server import HttpServer
 from verbenawind.logs import LogCounts, configure_logs
 from verbenawind.metrics import Metrics
@@ -235,14 +235,14 @@
         servers = list(self.node.directory.all())
         beliefs = Counter((server.instance.service, server.belief) for server in servers)
         for service in {server.instance.service for server in servers}:
-            for belief in Belief:
+            for belief in ServerState:
                 count = beliefs[service, belief]
                 help_text = "Registered servers, by what this daemon believes of them."
                 put("servers", help_text, count, service=service, belief=belief.value)
             put(
                 "server_belief_age_seconds",
                 "The longest time for which nothing was heard of a server of the service.",
-                max(s.heard_age_s for s in servers if s.instance.service == service),
+                max(s.last_contact_age_s for s in servers if s.instance.service == service),
                 service=service,
             )
         for model, newest in self.node.newest.items():
--- a/src/verbenawind/weights/load_scheduler.py
+++ b/src/verbenawind/weights/load_scheduler.py
@@ -318,7 +318,7 @@
                 key = (name, engine.instance.started_ms)
                 self._accepted_orders[key] = (order.expected_orders or 0) + 1
             case OrderAnswer.HOLDS:
-                engine.learn_version(order.model, order.version)
+                engine.record_version(order.model, order.version)
                 self._pending.pop(name, None)
             case OrderAnswer.UNKNOWN:
                 pending = self._pending.get(name)
@@ -377,7 +377,7 @@
         if not report.changing:
             for model, version in report.versions.items():
                 if version > engine.versions.get(model, 0):
-                    engine.learn_version(model, version)
+                    engine.record_version(model, version)
         pending = self._pending.get(name)
         if pending is not None:
             pending.poll_at_s = min(
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -58,7 +58,7 @@
         directory = Directory(clock)
         directory.put(instance())
         clock.now_s = 10.0
-        directory.feed_returned(5.0)
+        directory.feed_recovered(5.0)
         directory.remove("s1")
         clock.now_s = 11.9
         assert directory.backends("pool")
@@ -70,7 +70,7 @@
         clock = ManualClock()
         directory = Directory(clock)
         directory.put(instance())
-        directory.feed_returned(5.0)
+        directory.feed_recovered(5.0)
         directory.remove("s1")
         clock.now_s = 1.0
         directory.put(instance())
