--- a/src/verbenawind/rollout/__init__.py
+++ b/src/verbenawind/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""The trainer's side: steps, samples, versions, delivery and grades."""
+"""Rollouts for trainers: steps, samples, weight versions, delivery and grades."""
 
 from verbenawind.rollout.service import Rollouts
 
--- a/src/verbenawind/rollout/acceptance.py
+++ b/src/verbenawind/rollout/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts steps durably, once, with the same answer each time."""
+"""Accepts submitted steps durably and idempotently."""
 
 import msgspec
 
@@ -16,15 +16,15 @@
 )
 from verbenawind.rollout.units import run_lengths
 
-__all__ = ["StepAcceptance"]
+__all__ = ["StepAcceptor"]
 
 
-class StepAcceptance:
-    """Writes step rows.
+class StepAcceptor:
+    """Persists submitted steps; a repeated submission gets the same response.
 
     Args:
-        table: The table service's client.
-        objects: The object store's client.
+        table: Client of the table service.
+        objects: Client of the object store.
     """
 
     __slots__ = ("_objects", "_table")
@@ -36,21 +36,22 @@
     async def submit(
         self, revision: EnvironmentRevision, trainer: TrainerSpec, submission: StepSubmission
     ) -> StepAccepted:
-        """Accept a step.
+        """Store a step and its row, or return the response to an earlier submission of it.
 
         Raises:
-            InvalidRequest: The step has no samples, too many, or an empty group.
-            StepConflict: The step has other content, or is so old that it is not kept.
+            InvalidRequest: The step number is negative, a group is empty, or the number of
+                samples is out of range.
+            StepConflict: The step was submitted with different content, or is past retention.
         """
-        _check(trainer, submission)
+        _validate(trainer, submission)
         data = msgspec.json.encode(submission)
-        record = _record(revision, trainer, submission, digest_hex(data))
+        record = _step_record(revision, trainer, submission, digest_hex(data))
         key = step_key(revision.name, trainer.name, submission.step)
         work = work_key(revision.name, trainer.name)
         rows = await self._table.read([key, work])
         if key in rows:
-            return _accepted(trainer, record, rows[key])
-        _check_kept(trainer, submission, rows.get(work))
+            return _repeat_response(trainer, record, rows[key])
+        _check_retained(trainer, submission, rows.get(work))
         await self._objects.put(record.object_key, data)
         write = Write(key=key, value=msgspec.json.encode(record), expect_version=0)
         try:
@@ -59,31 +60,31 @@
             rows = await self._table.read([key])
             if key not in rows:
                 raise
-            return _accepted(trainer, record, rows[key])
-        return _answer(record)
+            return _repeat_response(trainer, record, rows[key])
+        return _response(record)
 
 
-def _check(trainer: TrainerSpec, submission: StepSubmission) -> None:
+def _validate(trainer: TrainerSpec, submission: StepSubmission) -> None:
     samples = sum(group.size for group in submission.groups)
     if not 1 <= samples <= trainer.max_samples_per_step:
         raise InvalidRequest(
-            f"step {submission.step} asks for {samples} samples; "
-            f"trainer {trainer.name!r} may ask for 1 to {trainer.max_samples_per_step}"
+            f"step {submission.step} requests {samples} samples; "
+            f"trainer {trainer.name!r} may request 1 to {trainer.max_samples_per_step}"
         )
     if submission.step < 0 or any(group.size < 1 for group in submission.groups):
-        raise InvalidRequest(f"step {submission.step} is negative or has an empty group")
+        raise InvalidRequest(f"step {submission.step} has a negative number or an empty group")
 
 
-def _check_kept(trainer: TrainerSpec, submission: StepSubmission, row: Row | None) -> None:
+def _check_retained(trainer: TrainerSpec, submission: StepSubmission, row: Row | None) -> None:
     floor = msgspec.json.decode(row.value, type=WorkRecord).floor if row else -1
     if submission.step <= floor:
         raise StepConflict(
-            f"step {submission.step} of trainer {trainer.name!r} was delivered long ago; "
-            f"steps after {floor} are kept"
+            f"step {submission.step} of trainer {trainer.name!r} is past retention; "
+            f"only steps after {floor} are retained"
         )
 
 
-def _record(
+def _step_record(
     revision: EnvironmentRevision, trainer: TrainerSpec, submission: StepSubmission, digest: str
 ) -> StepRecord:
     return StepRecord(
@@ -96,17 +97,17 @@
     )
 
 
-def _accepted(trainer: TrainerSpec, record: StepRecord, row: Row) -> StepAccepted:
+def _repeat_response(trainer: TrainerSpec, record: StepRecord, row: Row) -> StepAccepted:
     known = msgspec.json.decode(row.value, type=StepRecord)
     if known.digest != record.digest:
         raise StepConflict(
-            f"step {record.step} of trainer {trainer.name!r} has other content "
-            f"(digest {known.digest})"
+            f"step {record.step} of trainer {trainer.name!r} was already submitted "
+            f"with different content (digest {known.digest})"
         )
-    return _answer(known)
+    return _response(known)
 
 
-def _answer(record: StepRecord) -> StepAccepted:
+def _response(record: StepRecord) -> StepAccepted:
     return StepAccepted(
         step=record.step, samples_expected=record.samples_expected, digest=record.digest
     )
--- a/src/verbenawind/rollout/commits.py
+++ b/src/verbenawind/rollout/commits.py
@@ -321,13 +321,13 @@
 
     def _drops(self, change: WorkChange) -> list[Write]:
         name, trainer = self._state.environment, self._state.trainer.name
-        most = -(-self._state.trainer.max_samples_per_step // SAMPLES_PER_SHARD)
+        max_shards = -(-self._state.trainer.max_samples_per_step // SAMPLES_PER_SHARD)
         keys = [
             key
             for step in change.dropped_steps
             for key in (
                 step_key(name, trainer, step),
-                *(grade_shard_key(name, trainer, step, shard) for shard in range(most)),
+                *(grade_shard_key(name, trainer, step, shard) for shard in range(max_shards)),
             )
         ]
         return [Write(key=key, value=None) for key in keys]
--- a/src/verbenawind/rollout/holder.py
+++ b/src/verbenawind/rollout/holder.py
@@ -14,7 +14,7 @@
 from verbenawind.rollout.drafts import UnitJob
 from verbenawind.rollout.fresh_start import FreshStart, fresh_start
 from verbenawind.rollout.holder_parts import HolderParts
-from verbenawind.rollout.lengths import LengthBook
+from verbenawind.rollout.lengths import LengthEstimator
 from verbenawind.rollout.pacer import Pacer
 from verbenawind.rollout.progress import (
     NeededUnit,
@@ -71,7 +71,7 @@
             self._state, parts.table, parts.objects, parts.peers.peer_id
         )
         self._pacer = Pacer(parts.clock, parts.policy.fixed_ahead_steps)
-        self._lengths = LengthBook()
+        self._lengths = LengthEstimator()
         self._log = structlog.get_logger("rollout")
         self._tenure = Tenure(self._state, parts)
         self._records: Sequence[StepRecord] = ()
--- a/src/verbenawind/rollout/policy.py
+++ b/src/verbenawind/rollout/policy.py
@@ -1,4 +1,4 @@
-"""Which of the rollout policies are in use; benches switch them off one by one."""
+"""Switches of the rollout policies, which benchmarks turn off one at a time."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class RolloutPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """The switches of the policies that save trainer time.
+    """Enables or disables policies that reduce the idle time of trainers.
 
-    ``longest_first`` starts the groups that are expected to take longest first.
+    ``longest_first`` starts the groups with the longest expected samples first.
     ``move_stragglers`` resumes slow samples on other engines. ``fixed_ahead_steps`` replaces
-    the control loop by a constant number of steps.
+    the control loop of the pacing by a constant number of steps.
     """
 
     longest_first: bool = True
--- a/src/verbenawind/rollout/records.py
+++ b/src/verbenawind/rollout/records.py
@@ -1,4 +1,4 @@
-"""Rows that rollouts keep in the table service, and their keys."""
+"""Schemas and keys of the rows and objects in which rollouts are stored."""
 
 import msgspec
 
@@ -35,10 +35,10 @@
 
 
 class StepRecord(Value, frozen=True, kw_only=True):
-    """An accepted step; its submission is the object ``object_key``.
+    """An accepted step; its submission is stored as the object ``object_key``.
 
-    ``group_sizes`` is run-length encoded as (groups, samples in each). With ``singles`` every
-    sample is a unit of delivery, otherwise every group is.
+    ``group_sizes`` is run-length encoded as (number of groups, samples in each). If ``singles``
+    is set, every sample is a unit of delivery; otherwise every group is.
     """
 
     step: int
@@ -50,7 +50,7 @@
 
 
 class UnitRecord(Value, frozen=True, kw_only=True, array_like=True):
-    """One committed unit of delivery: a group, or a single sample."""
+    """A committed unit of delivery: a group or a single sample."""
 
     step: int
     unit: int
@@ -59,7 +59,7 @@
 
 
 class BatchRecord(Value, frozen=True, kw_only=True, array_like=True):
-    """Units committed together; their ordinals are ``first_ordinal`` and those that follow."""
+    """Units committed together; their ordinals are consecutive from ``first_ordinal``."""
 
     first_ordinal: int
     object_key: str
@@ -68,23 +68,23 @@
 
     @property
     def last_ordinal(self) -> int:
-        """The ordinal of the last unit."""
+        """The ordinal of the last unit in the batch."""
         return self.first_ordinal + len(self.units) - 1
 
 
 class StepProgress(Value, frozen=True, kw_only=True, array_like=True):
-    """How many units a step has and, as a bitmap, which were ever committed."""
+    """The number of units of a step and a bitmap of those ever committed."""
 
     units: int
     committed: bytes
 
 
 class WorkRecord(Value, frozen=True, kw_only=True):
-    """What the holder of a trainer's steps has committed; only a holder writes it.
+    """What has been committed for a trainer; written only by the holder of the trainer's lease.
 
-    ``finished`` lists delivered steps whose rows are kept; rows of steps up to ``floor`` are
-    gone. ``garbage`` lists objects that nothing refers to any more. ``graded_ordinal`` is the
-    last unit whose samples the scoring service has graded.
+    ``finished`` lists the delivered steps whose rows are retained; the rows of steps up to
+    ``floor`` have been deleted. ``garbage`` lists unreferenced objects that are to be deleted.
+    ``graded_ordinal`` is the last unit whose samples the scoring service has graded.
     """
 
     epoch: int = 0
@@ -99,7 +99,7 @@
 
 
 class VoidUnit(Value, frozen=True, kw_only=True, array_like=True):
-    """A committed copy of a unit that expired and is never delivered again."""
+    """A committed copy of a unit that expired and must not be delivered again."""
 
     ordinal: int
     step: int
@@ -108,12 +108,14 @@
 
 
 class DeliveryRecord(Value, frozen=True, kw_only=True):
-    """Where a trainer's delivery stands; written before anything is sent.
+    """The state of delivery to a trainer; written before the delivery is sent.
 
     The outstanding delivery ``cursor`` follows the acknowledged cursor ``after`` and holds the
     units with ordinals in (``start``, ``end``] that are not void, and the grade batches in
-    (``grade_start``, ``grade_end``]. When ``cursor`` equals ``after`` nothing is outstanding.
-    ``delivered_units`` and ``staleness_sum`` feed the pacing of generation.
+    (``grade_start``, ``grade_end``]. If ``cursor`` equals ``after``, nothing is
+    outstanding. ``delivered`` maps steps to bitmaps of delivered units, and ``remade`` maps steps
+    to the generations of units that were delivered in a later generation than the first.
+    ``delivered_units`` and ``staleness_sum`` are inputs of the pacing of generation.
     """
 
     cursor: int = 0
@@ -133,17 +135,17 @@
 
     @property
     def acknowledged_ordinal(self) -> int:
-        """The last ordinal that the trainer has acknowledged."""
+        """The last unit ordinal that the trainer has acknowledged."""
         return self.end if self.cursor == self.after else self.start
 
     @property
     def acknowledged_grades(self) -> int:
-        """The last grade batch that the trainer has acknowledged."""
+        """The ordinal of the last grade batch that the trainer has acknowledged."""
         return self.grade_end if self.cursor == self.after else self.grade_start
 
 
 class GradeEntry(Value, frozen=True, kw_only=True, array_like=True):
-    """The accepted grade of one sample; ``sample`` is its index within the step."""
+    """An accepted grade; ``sample`` is the index of the sample within its step."""
 
     sample: int
     generation: int
@@ -152,13 +154,13 @@
 
 
 class GradeShardRecord(Value, frozen=True, kw_only=True):
-    """The accepted grades of a range of a step's samples."""
+    """The accepted grades of a contiguous range of samples of a step."""
 
     entries: tuple[GradeEntry, ...] = ()
 
 
 class GradeBatchRecord(Value, frozen=True, kw_only=True, array_like=True):
-    """Grades committed together, in one object."""
+    """Grades committed together and stored in one object."""
 
     ordinal: int
     object_key: str
@@ -166,27 +168,27 @@
 
 
 class GradeLogRecord(Value, frozen=True, kw_only=True):
-    """Grade batches that the trainer has not acknowledged yet."""
+    """The grade batches that the trainer has not acknowledged yet."""
 
     next_ordinal: int = 1
     batches: tuple[GradeBatchRecord, ...] = ()
 
 
 class UnitPayload(Value, frozen=True, kw_only=True):
-    """The object of a batch: its units in ordinal order."""
+    """The content of a batch object: its units in ordinal order."""
 
     units: tuple[DeliveredGroup, ...]
 
 
 class VersionTime(Value, frozen=True, kw_only=True, array_like=True):
-    """When a version was published, as a Unix time in seconds."""
+    """The publication time of a version, as a Unix time in seconds."""
 
     version: int
     published_at_s: float
 
 
 class VersionRecord(Value, frozen=True, kw_only=True):
-    """The newest published version of a model, and when recent versions were published."""
+    """The newest published version of a model and the publication times of recent versions."""
 
     model: str
     version: int
@@ -195,7 +197,7 @@
 
     @property
     def published_at_s(self) -> float:
-        """When the newest version was published, as a Unix time in seconds."""
+        """The publication time of the newest version, or 0 if it is unknown."""
         return self.history[-1].published_at_s if self.history else 0.0
 
 
@@ -215,40 +217,40 @@
 
 
 def work_key(environment: str, trainer: str) -> str:
-    """Return the key of the row that the holder writes."""
+    """Return the key of the work record, which the holder of the lease writes."""
     return f"{trainer_prefix(environment, trainer)}work"
 
 
 def delivery_key(environment: str, trainer: str) -> str:
-    """Return the key of the row that polls write."""
+    """Return the key of the delivery record, which polls write."""
     return f"{trainer_prefix(environment, trainer)}delivery"
 
 
 def grade_log_key(environment: str, trainer: str) -> str:
-    """Return the key of the row that lists grade batches."""
+    """Return the key of the grade log."""
     return f"{trainer_prefix(environment, trainer)}grades"
 
 
 def grade_shard_key(environment: str, trainer: str, step: int, shard: int) -> str:
-    """Return the key of a shard of a step's grades."""
+    """Return the key of a shard of the grades of a step."""
     return f"{trainer_prefix(environment, trainer)}grade/{step:012}/{shard:04}"
 
 
 def version_prefix(environment: str) -> str:
-    """Return the prefix of an environment's newest-version rows."""
+    """Return the prefix of the version rows of an environment."""
     return f"version/{environment}/"
 
 
 def version_key(environment: str, model: str) -> str:
-    """Return the key of a model's newest-version row."""
+    """Return the key of the version row of a model."""
     return f"{version_prefix(environment)}{model}"
 
 
 def decode_units(data: bytes) -> UnitPayload:
-    """Return the units in a batch object."""
+    """Decode a batch object."""
     return msgspec.msgpack.decode(data, type=UnitPayload)
 
 
 def decode_grades(data: bytes) -> tuple[DeliveredGrade, ...]:
-    """Return the grades in a grade-batch object."""
+    """Decode the object of a grade batch."""
     return msgspec.msgpack.decode(data, type=tuple[DeliveredGrade, ...])
--- a/src/verbenawind/rollout/rows.py
+++ b/src/verbenawind/rollout/rows.py
@@ -1,4 +1,4 @@
-"""Reads the rows of one trainer together, and writes them under conditions."""
+"""Consistent reads and conditional writes of a trainer's rows."""
 
 from collections.abc import Mapping, Sequence
 from typing import TypeVar
@@ -23,7 +23,7 @@
 
 
 class TrainerRows(msgspec.Struct, frozen=True, kw_only=True):
-    """One consistent read of a trainer's rows; a version is 0 while its row is absent."""
+    """A consistent snapshot of a trainer's rows; the version of an absent row is 0."""
 
     work: WorkRecord
     work_version: int
@@ -42,7 +42,7 @@
         model: str,
         extra: Sequence[str] = (),
     ) -> "TrainerRows":
-        """Read the rows of a trainer, its model's version row and *extra* keys."""
+        """Read a trainer's rows, the version row of its model and the *extra* keys at once."""
         work, delivery = work_key(environment, trainer), delivery_key(environment, trainer)
         grades = grade_log_key(environment, trainer)
         rows = await table.read([work, delivery, grades, version_key(environment, model), *extra])
@@ -58,20 +58,20 @@
 
 
 def decode_row(row: Row | None, kind: type[R]) -> R | None:
-    """Return a row's value as *kind*, None when the row is absent."""
+    """Decode the value of a row as *kind*; return None if the row is absent."""
     return msgspec.json.decode(row.value, type=kind) if row is not None else None
 
 
 def row_version(rows: Mapping[str, Row], key: str) -> int:
-    """Return the version of a row, 0 when it is absent."""
+    """Return the version of a row, or 0 if it is absent."""
     return rows[key].version if key in rows else 0
 
 
 def conditional(key: str, record: msgspec.Struct, expect_version: int) -> Write:
-    """Return the write of a record over the version that was read."""
+    """Create a write that fails unless the row still has *expect_version*."""
     return Write(key=key, value=msgspec.json.encode(record), expect_version=expect_version)
 
 
 async def commit_rows(table: TableStore, *writes: Write) -> None:
-    """Commit writes in one transaction with a fresh operation id."""
+    """Commit the writes in one transaction with a new operation id."""
     await table.commit(Transaction(operation_id=new_id("op"), writes=writes))
--- a/src/verbenawind/rollout/service.py
+++ b/src/verbenawind/rollout/service.py
@@ -29,7 +29,7 @@
     VersionAccepted,
 )
 from verbenawind.metrics import Metrics
-from verbenawind.rollout.acceptance import StepAcceptance
+from verbenawind.rollout.acceptance import StepAcceptor
 from verbenawind.rollout.delivery import Poller
 from verbenawind.rollout.drafts import SampleMaker, TokenCounts
 from verbenawind.rollout.grades import GradeBook
@@ -91,7 +91,7 @@
         self._peers = peers
         self.tokens = TokenCounts()
         self.versions = VersionBook(table, peers, clock)
-        self._acceptance = StepAcceptance(table, objects)
+        self._acceptance = StepAcceptor(table, objects)
         self._grades = GradeBook(table, objects, clock, rng)
         self._scorer = Scorer(
             fleet=fleet,
--- a/src/verbenawind/rollout/staleness.py
+++ b/src/verbenawind/rollout/staleness.py
@@ -1,4 +1,4 @@
-"""Judges whether weight versions are within the staleness bound; pure."""
+"""Checks weight versions against the staleness bound. Performs no I/O."""
 
 from collections.abc import Sequence
 
@@ -11,11 +11,11 @@
 
 
 class StalenessBound(msgspec.Struct, frozen=True, kw_only=True):
-    """The bound as it stands at one moment.
+    """The staleness bound at one point in time.
 
-    A version is within it when it is at most ``spec.max_versions`` behind ``newest_version``
-    and, where ``spec.max_age_s`` is given, its successor was published at most that many
-    seconds before ``now_s``.
+    A version is within the bound if it is at most ``spec.max_versions`` behind
+    ``newest_version`` and, where ``spec.max_age_s`` is set, its successor was published at most
+    that many seconds before ``now_s``.
     """
 
     spec: StalenessSpec
@@ -25,7 +25,7 @@
 
     @property
     def oldest_allowed(self) -> int:
-        """The oldest version that the bound in versions allows."""
+        """The oldest version within ``spec.max_versions``, whatever its age."""
         return self.newest_version - self.spec.max_versions
 
     def allows(self, version: int) -> bool:
@@ -38,12 +38,12 @@
         return superseded_at_s is None or self.now_s - superseded_at_s <= self.spec.max_age_s
 
     def superseded_at_s(self, version: int) -> float | None:
-        """Return when the first newer version was published, None when none is known."""
+        """Return when the first newer version was published, or None if none is known."""
         times = [entry.published_at_s for entry in self.history if entry.version > version]
         return min(times, default=None)
 
     def oldest_dispatchable(self) -> int:
-        """Return the oldest version that new work may start with."""
+        """Return the oldest version that a new sample may start with."""
         version = max(0, self.oldest_allowed)
         while version < self.newest_version and not self.allows(version):
             version += 1
--- a/src/verbenawind/rollout/units.py
+++ b/src/verbenawind/rollout/units.py
@@ -1,4 +1,4 @@
-"""The units of delivery of a step (groups or single samples) and bitmaps over them."""
+"""Units of delivery of a step (groups or single samples), and bitmaps of units."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -8,11 +8,11 @@
 
 
 class StepUnits:
-    """Maps the units of a step to its samples.
+    """Maps the units of a step to its samples and back.
 
     Args:
-        sizes: Samples in each group.
-        singles: Whether each sample is a unit, instead of each group.
+        sizes: Number of samples in each group.
+        singles: Whether each sample is a unit; otherwise each group is.
     """
 
     __slots__ = ("_offsets", "_singles", "_sizes", "samples")
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_runs(cls, runs: Iterable[tuple[int, int]], *, singles: bool) -> "StepUnits":
-        """Return the units of run-length encoded group sizes."""
+        """Create the units from run-length encoded group sizes."""
         return cls([size for count, size in runs for _ in range(count)], singles=singles)
 
     @property
@@ -41,7 +41,7 @@
         return [(group, unit - self._offsets[group])]
 
     def sample_number(self, group: int, index: int) -> int | None:
-        """Return a sample's number within the step, None when there is no such sample."""
+        """Return the index of a sample within the step, or None if there is no such sample."""
         if not 0 <= group < len(self._sizes) or not 0 <= index < self._sizes[group]:
             return None
         return self._offsets[group] + index
@@ -52,18 +52,18 @@
 
 
 def run_lengths(sizes: Iterable[int]) -> tuple[tuple[int, int], ...]:
-    """Return group sizes as runs of (groups, samples in each)."""
+    """Run-length encode group sizes as (number of groups, samples in each)."""
     return tuple((len(list(run)), size) for size, run in groupby(sizes))
 
 
 def has_bit(bitmap: bytes, number: int) -> bool:
-    """Return whether bit *number* is set."""
+    """Return whether bit *number* is set; bits past the end are clear."""
     byte = number // 8
     return byte < len(bitmap) and bool(bitmap[byte] >> (number % 8) & 1)
 
 
 def with_bits(bitmap: bytes, numbers: Iterable[int]) -> bytes:
-    """Return the bitmap with more bits set."""
+    """Return a copy of the bitmap with the given bits set, extended if necessary."""
     changed = bytearray(bitmap)
     for number in numbers:
         byte = number // 8
@@ -73,7 +73,7 @@
 
 
 def without_bits(bitmap: bytes, numbers: Iterable[int]) -> bytes:
-    """Return the bitmap with some bits cleared."""
+    """Return a copy of the bitmap with the given bits cleared."""
     changed = bytearray(bitmap)
     for number in numbers:
         if has_bit(bitmap, number):
@@ -82,5 +82,5 @@
 
 
 def count_bits(bitmap: bytes) -> int:
-    """Return how many bits are set."""
+    """Return the number of set bits."""
     return int.from_bytes(bitmap, "little").bit_count()
