--- a/src/verbenawind/rollout/commits.py
+++ b/src/verbenawind/rollout/commits.py
@@ -1,4 +1,4 @@
-"""Commits finished units in batches, each in one transaction that checks the holder's epoch."""
+"""Commits finished units in batches, in transactions that check the lease of the holder."""
 
 from collections.abc import Sequence
 
@@ -27,7 +27,7 @@
 from verbenawind.rollout.staleness import StalenessBound
 from verbenawind.rollout.units import StepUnits
 
-__all__ = ["BatchCommitter", "FinishedUnit", "TrainerState"]
+__all__ = ["BatchCommitter", "FinishedUnit", "TrainerContext"]
 
 _MIN_BATCH_SAMPLES = 32
 _MAX_BATCH_SAMPLES = 512
@@ -38,8 +38,8 @@
 _MAX_DELETIONS = 64
 
 
-class TrainerState:
-    """Which trainer is served, under which revision.
+class TrainerContext:
+    """A trainer, its model and the environment revision in force.
 
     Args:
         revision: The revision in force.
@@ -63,7 +63,7 @@
 
 
 class FinishedUnit(msgspec.Struct, frozen=True, kw_only=True):
-    """A unit whose samples are all made, not committed yet."""
+    """A unit whose samples are complete but not committed yet."""
 
     step: int
     unit: int
@@ -74,39 +74,39 @@
 
     @property
     def oldest_version(self) -> int:
-        """The oldest weight version in the unit."""
+        """The oldest weight version of any sample in the unit."""
         return min(sample.oldest_version for sample in self.samples)
 
 
 class BatchCommitter:
-    """Collects finished units of one trainer and commits them.
+    """Buffers the finished units of one trainer and commits them in batches.
 
     Args:
-        state: The trainer.
-        table: The table service's client.
-        objects: The object store's client.
-        daemon_id: This daemon's identifier.
+        context: The trainer.
+        table: Client of the table service.
+        objects: Client of the object store.
+        daemon_id: Identifier of this daemon.
     """
 
     def __init__(
-        self, state: TrainerState, table: TableStore, objects: ObjectStore, daemon_id: str
+        self, context: TrainerContext, table: TableStore, objects: ObjectStore, daemon_id: str
     ) -> None:
-        self._state = state
+        self._context = context
         self._table = table
         self._objects = objects
         self._daemon_id = daemon_id
         self._rows: TrainerRows | None = None
         self._attempt = 0
-        self._abandoned: list[str] = []
-        self._deleted: set[str] = set()
+        self._abandoned_keys: list[str] = []
+        self._deleted_keys: set[str] = set()
         self._last_commit_s = 0.0
         self._log = structlog.get_logger("rollout")
         self.is_current = False
         self.pending: list[FinishedUnit] = []
 
     @property
-    def is_known(self) -> bool:
-        """Whether the rows were ever read."""
+    def has_rows(self) -> bool:
+        """Whether the rows have been read at least once."""
         return self._rows is not None
 
     @property
@@ -117,44 +117,44 @@
 
     @property
     def pending_samples(self) -> int:
-        """How many finished samples wait to be committed."""
+        """The number of finished samples that are not committed yet."""
         return sum(len(entry.samples) for entry in self.pending)
 
     @property
     def pending_tokens(self) -> int:
-        """How many tokens the pending samples have."""
+        """The total number of tokens of the pending samples."""
         return sum(len(sample.token_ids) for entry in self.pending for sample in entry.samples)
 
     def add(self, finished: FinishedUnit) -> None:
-        """Take in a finished unit."""
+        """Add a finished unit to the buffer."""
         self.pending.append(finished)
 
-    def forget(self) -> None:
-        """Distrust the rows until they are read again."""
+    def mark_stale(self) -> None:
+        """Mark the rows as outdated until they are read again."""
         self.is_current = False
 
     async def read(self) -> tuple[TrainerRows, Sequence[StepRecord]]:
-        """Read the rows and the steps; drop pending units that another copy made needless."""
-        name, trainer = self._state.environment, self._state.trainer.name
+        """Read the rows and steps; drop pending units that are no longer needed."""
+        name, trainer = self._context.environment, self._context.trainer.name
         found = await self._table.scan(step_prefix(name, trainer))
         records = [msgspec.json.decode(row.value, type=StepRecord) for row in found]
-        rows = await TrainerRows.read(self._table, name, trainer, self._state.model.name)
+        rows = await TrainerRows.read(self._table, name, trainer, self._context.model.name)
         self._rows = rows
         self.is_current = True
         self.pending = _still_needed(self.pending, records, rows)
         return rows, records
 
-    def take_expired(self, bound: StalenessBound) -> list[FinishedUnit]:
-        """Remove and return the pending units that may no longer be delivered."""
+    def remove_expired(self, bound: StalenessBound) -> list[FinishedUnit]:
+        """Remove and return the pending units that exceed the staleness bound."""
         expired = [entry for entry in self.pending if not bound.allows(entry.oldest_version)]
         if expired:
             self.pending = [entry for entry in self.pending if entry not in expired]
             self._log.info(
                 "units_expired",
-                trainer=self._state.trainer.name,
+                trainer=self._context.trainer.name,
                 units=len(expired),
                 newest_version=bound.newest_version,
-                reason="older than the staleness bound before they were committed",
+                reason="exceeded the staleness bound before commit",
             )
         return expired
 
@@ -167,18 +167,21 @@
         graded_ordinal: int | None,
         step_records: Sequence[StepRecord],
     ) -> bool:
-        """Commit a batch, or only what the trainer acknowledged, when it is time.
+        """Commit a batch or a maintenance update if one is due; return whether it was.
+
+        A maintenance update only removes acknowledged batches and deleted objects from the
+        work record.
 
         Raises:
-            ConditionFailed: The rows changed, or the lease passed on.
-            LeaseLost: The lease lapsed.
-            StoreUnavailable: The stores gave no answer.
+            ConditionFailed: The rows changed, or another daemon acquired the lease.
+            LeaseLost: The lease expired.
+            StoreUnavailable: The stores did not respond.
         """
-        taken = self._take(now_s, step_records, flush=flush)
-        if not taken and not self._needs_maintenance(now_s, graded_ordinal):
+        selected = self._select(now_s, step_records, flush=flush)
+        if not selected and not self._needs_maintenance(now_s, graded_ordinal):
             return False
         lease.check()
-        batch = await self._put(taken, lease) if taken else None
+        batch = await self._store_batch(selected, lease) if selected else None
         change = next_work(
             self.rows.work,
             self.rows.delivery,
@@ -187,25 +190,25 @@
             batch=batch,
             step_records=step_records,
             graded_ordinal=graded_ordinal,
-            abandoned_keys=self._abandoned,
-            deleted_keys=self._deleted,
+            abandoned_keys=self._abandoned_keys,
+            deleted_keys=self._deleted_keys,
         )
         await self._write(change, lease)
-        self.pending = [entry for entry in self.pending if entry not in taken]
+        self.pending = [entry for entry in self.pending if entry not in selected]
         self._last_commit_s = now_s
-        self._abandoned.clear()
+        self._abandoned_keys.clear()
         self._log.info(
             "batch_committed",
-            trainer=self._state.trainer.name,
+            trainer=self._context.trainer.name,
             epoch=lease.fencing_number,
-            units=len(taken),
-            samples=sum(len(entry.samples) for entry in taken),
-            reason="batch full, old enough, or nothing else runs" if taken else "maintenance",
+            units=len(selected),
+            samples=sum(len(entry.samples) for entry in selected),
+            reason="batch full, overdue or flushed" if selected else "maintenance",
         )
         await self._delete_garbage()
         return True
 
-    def _take(
+    def _select(
         self, now_s: float, records: Sequence[StepRecord], *, flush: bool
     ) -> list[FinishedUnit]:
         if not self.pending:
@@ -215,62 +218,64 @@
         if not ready:
             return []
         largest = max((record.samples_expected for record in records), default=0)
-        wanted = min(_MAX_BATCH_SAMPLES, max(_MIN_BATCH_SAMPLES, largest // _BATCHES_PER_STEP))
+        target_samples = min(
+            _MAX_BATCH_SAMPLES, max(_MIN_BATCH_SAMPLES, largest // _BATCHES_PER_STEP)
+        )
         is_old = now_s - ready[0].finished_at_s >= _MAX_DELAY_S
         samples = sum(len(entry.samples) for entry in ready)
-        if not (flush or is_old or samples >= wanted or self._completes(records)):
+        if not (flush or is_old or samples >= target_samples or self._completes_step(records)):
             return []
-        taken: list[FinishedUnit] = []
+        selected: list[FinishedUnit] = []
         for entry in sorted(ready, key=lambda one: one.step):
-            if sum(len(one.samples) for one in taken) >= _MAX_BATCH_SAMPLES:
+            if sum(len(one.samples) for one in selected) >= _MAX_BATCH_SAMPLES:
                 break
-            taken.append(entry)
-        return taken
+            selected.append(entry)
+        return selected
 
     def _in_order(self, records: Sequence[StepRecord]) -> list[FinishedUnit]:
-        """Return pending units, but none of a step while an earlier step still needs units.
+        """Return pending units, in step order, up to the first step that needs other units too.
 
-        Committed in step order, units are delivered in step order, and those of a later step
-        are judged by the staleness bound when the trainer comes to that step.
+        Units are delivered in the order in which they are committed. Committing them in step
+        order delays the staleness check of later steps until the trainer gets to them.
         """
         ready: list[FinishedUnit] = []
         for record in sorted(records, key=lambda one: one.step):
             if is_finished(record.step, self.rows.work, self.rows.delivery):
                 continue
-            mine = [entry for entry in self.pending if entry.step == record.step]
-            ready += mine
-            have = {entry.unit for entry in mine}
+            pending_of_step = [entry for entry in self.pending if entry.step == record.step]
+            ready += pending_of_step
+            pending_units = {entry.unit for entry in pending_of_step}
             units = StepUnits.from_runs(record.group_sizes, singles=record.singles)
             needed = needed_units(record.step, units, self.rows.work, self.rows.delivery)
-            if any(unit.unit not in have for unit in needed):
+            if any(unit.unit not in pending_units for unit in needed):
                 break
         return ready
 
-    def _completes(self, records: Sequence[StepRecord]) -> bool:
-        """Return whether the pending units are all that some step still needs."""
+    def _completes_step(self, records: Sequence[StepRecord]) -> bool:
+        """Return whether the pending units complete any step."""
         for record in records:
             if is_finished(record.step, self.rows.work, self.rows.delivery):
                 continue
-            have = {entry.unit for entry in self.pending if entry.step == record.step}
-            if not have:
+            pending_units = {entry.unit for entry in self.pending if entry.step == record.step}
+            if not pending_units:
                 continue
             units = StepUnits.from_runs(record.group_sizes, singles=record.singles)
             needed = needed_units(record.step, units, self.rows.work, self.rows.delivery)
-            if all(unit.unit in have for unit in needed):
+            if all(unit.unit in pending_units for unit in needed):
                 return True
         return False
 
     def _needs_maintenance(self, now_s: float, graded_ordinal: int | None) -> bool:
         if now_s - self._last_commit_s < _MAINTENANCE_PERIOD_S:
             return False
-        done = self.rows.delivery.acknowledged_ordinal
+        last_releasable = self.rows.delivery.acknowledged_ordinal
         if graded_ordinal is not None:
-            done = min(done, graded_ordinal)
+            last_releasable = min(last_releasable, graded_ordinal)
         return bool(self.rows.work.garbage) or any(
-            batch.last_ordinal <= done for batch in self.rows.work.batches
+            batch.last_ordinal <= last_releasable for batch in self.rows.work.batches
         )
 
-    async def _put(self, taken: Sequence[FinishedUnit], lease: Lease) -> BatchRecord:
+    async def _store_batch(self, selected: Sequence[FinishedUnit], lease: Lease) -> BatchRecord:
         payload = UnitPayload(
             units=tuple(
                 DeliveredGroup(
@@ -279,15 +284,17 @@
                     generation=entry.generation,
                     samples=entry.samples,
                 )
-                for entry in taken
+                for entry in selected
             )
         )
         data = msgspec.msgpack.encode(payload)
         self._attempt += 1
         ordinal = self.rows.work.next_ordinal
         name = f"batch/{ordinal:012}-{lease.fencing_number}-{self._attempt}"
-        object_key = f"{trainer_prefix(self._state.environment, self._state.trainer.name)}{name}"
-        self._abandoned.append(object_key)
+        object_key = (
+            f"{trainer_prefix(self._context.environment, self._context.trainer.name)}{name}"
+        )
+        self._abandoned_keys.append(object_key)
         await self._objects.put(object_key, data)
         return BatchRecord(
             first_ordinal=ordinal,
@@ -300,12 +307,12 @@
                     generation=entry.generation,
                     oldest_version=entry.oldest_version,
                 )
-                for entry in taken
+                for entry in selected
             ),
         )
 
     async def _write(self, change: WorkChange, lease: Lease) -> None:
-        key = work_key(self._state.environment, self._state.trainer.name)
+        key = work_key(self._context.environment, self._context.trainer.name)
         live = {batch.object_key for batch in change.record.batches}
         garbage = tuple(entry for entry in change.record.garbage if entry not in live)
         record = msgspec.structs.replace(change.record, garbage=garbage)
@@ -313,15 +320,15 @@
         lease.check()
         self.is_current = False
         writes = [conditional(key, record, self.rows.work_version), guard]
-        await commit_rows(self._table, *writes, *self._drops(change))
+        await commit_rows(self._table, *writes, *self._deletions(change))
         self._rows = msgspec.structs.replace(
             self.rows, work=record, work_version=self.rows.work_version + 1
         )
         self.is_current = True
 
-    def _drops(self, change: WorkChange) -> list[Write]:
-        name, trainer = self._state.environment, self._state.trainer.name
-        max_shards = -(-self._state.trainer.max_samples_per_step // SAMPLES_PER_SHARD)
+    def _deletions(self, change: WorkChange) -> list[Write]:
+        name, trainer = self._context.environment, self._context.trainer.name
+        max_shards = -(-self._context.trainer.max_samples_per_step // SAMPLES_PER_SHARD)
         keys = [
             key
             for step in change.dropped_steps
@@ -333,15 +340,15 @@
         return [Write(key=key, value=None) for key in keys]
 
     async def _delete_garbage(self) -> None:
-        """Delete what the last committed record calls garbage; the next one leaves it out."""
-        self._deleted.intersection_update(self.rows.work.garbage)
-        todo = [key for key in self.rows.work.garbage if key not in self._deleted]
-        for key in todo[:_MAX_DELETIONS]:
+        """Delete the objects listed as garbage by the last commit; the next one drops them."""
+        self._deleted_keys.intersection_update(self.rows.work.garbage)
+        undeleted = [key for key in self.rows.work.garbage if key not in self._deleted_keys]
+        for key in undeleted[:_MAX_DELETIONS]:
             try:
                 await self._objects.delete(key)
             except StoreUnavailable:
                 return
-            self._deleted.add(key)
+            self._deleted_keys.add(key)
 
 
 def _still_needed(
@@ -349,13 +356,13 @@
 ) -> list[FinishedUnit]:
     kept: list[FinishedUnit] = []
     for record in records:
-        mine = [entry for entry in pending if entry.step == record.step]
-        if not mine or is_finished(record.step, rows.work, rows.delivery):
+        pending_of_step = [entry for entry in pending if entry.step == record.step]
+        if not pending_of_step or is_finished(record.step, rows.work, rows.delivery):
             continue
         units = StepUnits.from_runs(record.group_sizes, singles=record.singles)
         needed = {
             unit.unit: unit.generation
             for unit in needed_units(record.step, units, rows.work, rows.delivery)
         }
-        kept += [entry for entry in mine if needed.get(entry.unit) == entry.generation]
+        kept += [entry for entry in pending_of_step if needed.get(entry.unit) == entry.generation]
     return kept
--- a/src/verbenawind/rollout/drafts.py
+++ b/src/verbenawind/rollout/drafts.py
@@ -20,7 +20,7 @@
 from verbenawind.kernel.ports import Generator
 from verbenawind.kernel.rollouts import Sample, Sampling
 from verbenawind.rollout.stragglers import StreamProgress, StreamSpeeds
-from verbenawind.rollout.versions import VersionBook
+from verbenawind.rollout.versions import VersionRegistry
 
 __all__ = ["Draft", "SampleMaker", "TokenCounts", "UnitJob", "sample_seed"]
 
@@ -161,7 +161,7 @@
     def __init__(
         self,
         generator: Generator,
-        versions: VersionBook,
+        versions: VersionRegistry,
         clock: Clock,
         tokens: TokenCounts,
         *,
--- a/src/verbenawind/rollout/holder.py
+++ b/src/verbenawind/rollout/holder.py
@@ -10,7 +10,7 @@
 from verbenawind.document import EnvironmentRevision, ModelSpec, TrainerSpec
 from verbenawind.errors import ConditionFailed, LeaseLost, StoreUnavailable, VerbenawindError
 from verbenawind.kernel.rollouts import Sample, StepSubmission
-from verbenawind.rollout.commits import BatchCommitter, FinishedUnit, TrainerState
+from verbenawind.rollout.commits import BatchCommitter, FinishedUnit, TrainerContext
 from verbenawind.rollout.drafts import UnitJob
 from verbenawind.rollout.fresh_start import FreshStart, fresh_start
 from verbenawind.rollout.holder_parts import HolderParts
@@ -66,14 +66,14 @@
         parts: HolderParts,
     ) -> None:
         self._parts = parts
-        self._state = TrainerState(revision, trainer, model)
+        self._context = TrainerContext(revision, trainer, model)
         self._committer = BatchCommitter(
-            self._state, parts.table, parts.objects, parts.peers.peer_id
+            self._context, parts.table, parts.objects, parts.peers.peer_id
         )
         self._pacer = Pacer(parts.clock, parts.policy.fixed_ahead_steps)
         self._lengths = LengthEstimator()
         self._log = structlog.get_logger("rollout")
-        self._tenure = Tenure(self._state, parts)
+        self._tenure = Tenure(self._context, parts)
         self._records: Sequence[StepRecord] = ()
         self._steps: dict[int, _Step] = {}
         self._running: dict[tuple[int, int], asyncio.Task[None]] = {}
@@ -88,7 +88,11 @@
         self, revision: EnvironmentRevision, trainer: TrainerSpec, model: ModelSpec
     ) -> None:
         """Go on under another revision."""
-        self._state.revision, self._state.trainer, self._state.model = revision, trainer, model
+        self._context.revision, self._context.trainer, self._context.model = (
+            revision,
+            trainer,
+            model,
+        )
 
     def note_waiting(self) -> None:
         """Take in that the trainer waits for samples now."""
@@ -138,8 +142,8 @@
         try:
             await self._turn()
         except Exception:
-            self._log.exception("turn_failed", trainer=self._state.trainer.name)
-            self._committer.forget()
+            self._log.exception("turn_failed", trainer=self._context.trainer.name)
+            self._committer.mark_stale()
             await self._parts.clock.sleep(_STORE_RETRY_S)
 
     async def _turn(self) -> None:
@@ -149,8 +153,8 @@
             await self._look()
             await self._commit()
         except (ConditionFailed, LeaseLost) as error:
-            self._log.info("rows_changed", trainer=self._state.trainer.name, error=error.message)
-            self._committer.forget()
+            self._log.info("rows_changed", trainer=self._context.trainer.name, error=error.message)
+            self._committer.mark_stale()
             self._next_look_s = 0.0
         except StoreUnavailable as error:
             delay_s = self._parts.rng.uniform(0.5, 1.5) * _STORE_RETRY_S
@@ -163,7 +167,7 @@
         if self._tenure.is_held:
             return True
         if self._tenure.notice_lapse():
-            self._committer.forget()
+            self._committer.mark_stale()
         if self._draining or not self._tenure.is_due():
             return False
         if not await self._tenure.acquire():
@@ -187,7 +191,7 @@
         self._committer.pending.clear()
         self._log.warning(
             "work_dropped",
-            trainer=self._state.trainer.name,
+            trainer=self._context.trainer.name,
             epoch=rows.work.epoch,
             reason="another daemon holds the steps",
         )
@@ -197,7 +201,9 @@
         if now_s < self._next_look_s and self._committer.is_current:
             return
         rows, records = await self._committer.read()
-        self._parts.versions.learn_rows(self._state.environment, self._state.model.name, rows.rows)
+        self._parts.versions.update_from_rows(
+            self._context.environment, self._context.model.name, rows.rows
+        )
         self._next_look_s = now_s + _LOOK_PERIOD_S
         self._records = records
         open_records = [
@@ -209,10 +215,10 @@
         self._cancel_finished()
         largest = max((step.units.count for step in self._steps.values()), default=1)
         self._pacer.take_in(
-            rows.delivery, self._state.revision.document, self._state.model, largest
+            rows.delivery, self._context.revision.document, self._context.model, largest
         )
-        if self._state.trainer.scoring_service is not None:
-            self._parts.scorer.take_in(self._state, rows)
+        if self._context.trainer.scoring_service is not None:
+            self._parts.scorer.take_in(self._context, rows)
 
     def _cancel_finished(self) -> None:
         for step, unit in [key for key in self._running if key[0] not in self._steps]:
@@ -226,14 +232,14 @@
         if not self._committer.is_current:
             return
         bound = self._parts.versions.bound(
-            self._state.environment,
-            self._state.model,
+            self._context.environment,
+            self._context.model,
             self._committer.rows.delivery.declared_version,
         )
-        for finished in self._committer.take_expired(bound):
+        for finished in self._committer.remove_expired(bound):
             self._keep_fresh(finished, bound)
         idle = not self._running
-        graded = self._parts.scorer.graded_ordinal(self._state)
+        graded = self._parts.scorer.graded_ordinal(self._context)
         if await self._committer.commit_due(
             lease,
             self._parts.clock.monotonic_s(),
@@ -252,9 +258,9 @@
         }
 
     async def _dispatch(self) -> None:
-        if not self._committer.is_known:
+        if not self._committer.has_rows:
             return
-        pool = self._state.model.pool
+        pool = self._context.model.pool
         self._parts.workforce.refresh(pool)
         room = self._parts.workforce.free(pool)
         room = min(room, _MAX_UNCOMMITTED_SAMPLES - self._uncommitted_samples())
@@ -286,15 +292,15 @@
 
     def _freshness(self) -> FreshStart:
         """Decide whether to wait for engines that still change to the newest version."""
-        state, clock = self._state, self._parts.clock
+        context, clock = self._context, self._parts.clock
         bound = self._parts.versions.bound(
-            state.environment, state.model, self._committer.rows.delivery.declared_version
+            context.environment, context.model, self._committer.rows.delivery.declared_version
         )
         return fresh_start(
             bound,
-            self._parts.active_versions(state.model),
+            self._parts.active_versions(context.model),
             clock.now().timestamp(),
-            state.revision.document,
+            context.revision.document,
         )
 
     def _uncommitted_samples(self) -> int:
@@ -354,17 +360,17 @@
         members = [member for member in step.units.members(unit) if member not in kept]
         prompt = submission.groups[step.units.members(unit)[0][0]].prompt
         return UnitJob(
-            environment=self._state.environment,
-            trainer=self._state.trainer.name,
-            caller=self._state.trainer.caller,
-            model=self._state.model,
+            environment=self._context.environment,
+            trainer=self._context.trainer.name,
+            caller=self._context.trainer.caller,
+            model=self._context.model,
             step=step.record.step,
             unit=unit,
             generation=generation,
             members=tuple(members),
             prompt=prompt,
             sampling=submission.sampling,
-            timeout_s=self._state.trainer.step_timeout_s,
+            timeout_s=self._context.trainer.step_timeout_s,
             expected_tokens=self._lengths.expected_tokens(prompt),
             declared_version=self._committer.rows.delivery.declared_version,
             min_version=self._min_version,
--- a/src/verbenawind/rollout/holder_parts.py
+++ b/src/verbenawind/rollout/holder_parts.py
@@ -9,7 +9,7 @@
 from verbenawind.kernel.ports import Leases, ObjectStore, PeerBus, TableStore
 from verbenawind.rollout.policy import RolloutPolicy
 from verbenawind.rollout.scoring import Scorer
-from verbenawind.rollout.versions import VersionBook
+from verbenawind.rollout.versions import VersionRegistry
 from verbenawind.rollout.workforce import Workforce
 
 __all__ = ["HolderParts"]
@@ -52,7 +52,7 @@
         table: TableStore,
         objects: ObjectStore,
         leases: Leases,
-        versions: VersionBook,
+        versions: VersionRegistry,
         workforce: Workforce,
         scorer: Scorer,
         peers: PeerBus,
--- a/src/verbenawind/rollout/plan.py
+++ b/src/verbenawind/rollout/plan.py
@@ -1,8 +1,8 @@
-"""Decides what a poll gets: the delivery record before it, what is committed, and the bound; pure.
+"""Decides what a poll is answered, from the stored records and the bound. Performs no I/O.
 
-A cursor names one delivery for good. A poll with the newest cursor acknowledges that delivery; a
-poll with the cursor before it gets the same delivery again, or, when units of it expired, a
-replacement under a new cursor that leaves those units out.
+A cursor identifies one delivery permanently. A poll with the newest cursor acknowledges that
+delivery. A poll with the cursor before it gets the same delivery again or, if units of it have
+expired, a replacement under a new cursor that omits those units.
 """
 
 from collections.abc import Iterator, Sequence
@@ -27,7 +27,7 @@
 
 
 class PlanReason(StrEnum):
-    """Why a poll gets what it gets."""
+    """Why a poll is answered as it is."""
 
     NOTHING_COMMITTED = "nothing committed after the cursor"
     EXPIRED_ONLY = "every unit after the cursor had expired"
@@ -37,7 +37,7 @@
 
 
 class DeliveryPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """The record to write (None when it stays) and whether there is something to send."""
+    """The record to write (None if it is unchanged) and whether there is something to send."""
 
     record: DeliveryRecord | None
     send: bool
@@ -45,7 +45,7 @@
 
 
 class _Selection(msgspec.Struct, frozen=True, kw_only=True):
-    """Units chosen after an ordinal, and those found expired on the way."""
+    """Units selected for a delivery, and expired ones among those examined, up to ``end``."""
 
     end: int
     chosen: tuple[UnitRecord, ...]
@@ -59,18 +59,18 @@
     grades: GradeLogRecord,
     bound: StalenessBound,
 ) -> DeliveryPlan:
-    """Return what the poll gets.
+    """Return the delivery that answers a poll.
 
     Raises:
-        CursorConflict: The cursor is void, or older or newer than what the record can answer.
+        CursorConflict: The cursor is neither the newest nor the acknowledged one.
     """
     if request.cursor == record.cursor:
         return _advance(request, record, work, grades, bound)
     if request.cursor == record.after:
         return _repeat(request, record, work, grades, bound)
     raise CursorConflict(
-        f"cursor {request.cursor} is void or past; acknowledged is {record.after}, "
-        f"the delivery after it is {record.cursor}",
+        f"cursor {request.cursor} is void, past or unknown; the acknowledged cursor is "
+        f"{record.after}, the newest is {record.cursor}",
         acknowledged_cursor=record.after,
     )
 
@@ -79,8 +79,8 @@
     """Return the record with its outstanding delivery acknowledged."""
     if record.cursor == record.after:
         return record
-    done = set(record.whole_steps)
-    delivered = {step: bits for step, bits in record.delivered.items() if step not in done}
+    completed = set(record.whole_steps)
+    delivered = {step: bits for step, bits in record.delivered.items() if step not in completed}
     return msgspec.structs.replace(
         record,
         after=record.cursor,
@@ -88,7 +88,7 @@
         grade_start=record.grade_end,
         delivered=delivered,
         whole_steps=(),
-        finished=tuple(sorted({*record.finished, *done})),
+        finished=tuple(sorted({*record.finished, *completed})),
     )
 
 
@@ -99,7 +99,7 @@
     void = {entry.ordinal for entry in record.void}
     return [
         (ordinal, unit)
-        for ordinal, unit in _ordinals(work.batches, after)
+        for ordinal, unit in _units_after(work.batches, after)
         if ordinal <= end and ordinal not in void
     ]
 
@@ -117,10 +117,10 @@
     if not selection.chosen and grade_end == base.grade_end:
         if not selection.expired:
             return DeliveryPlan(record=None, send=False, reason=PlanReason.NOTHING_COMMITTED)
-        voided = _with_void(record, selection.expired)
+        voided = _add_void(record, selection.expired)
         return DeliveryPlan(record=voided, send=False, reason=PlanReason.EXPIRED_ONLY)
-    following = _extended(base, selection, grade_end, work, bound)
-    return DeliveryPlan(record=following, send=True, reason=PlanReason.NEXT)
+    next_record = _next_delivery(base, selection, grade_end, work, bound)
+    return DeliveryPlan(record=next_record, send=True, reason=PlanReason.NEXT)
 
 
 def _repeat(
@@ -132,33 +132,36 @@
 ) -> DeliveryPlan:
     live = live_units(work, record, record.start, record.end)
     expired = tuple(
-        _void(ordinal, unit) for ordinal, unit in live if not bound.allows(unit.oldest_version)
+        _void_unit(ordinal, unit) for ordinal, unit in live if not bound.allows(unit.oldest_version)
     )
     has_grades = record.grade_end > record.grade_start
     if not expired and (live or has_grades):
         return DeliveryPlan(record=None, send=True, reason=PlanReason.REPEAT)
-    base = _without_delivered(_with_void(record, expired), expired)
-    room = request.max_groups - (len(live) - len(expired))
-    selection = _select(base, work, bound, base.end, room)
+    base = _remove_delivered(_add_void(record, expired), expired)
+    limit = request.max_groups - (len(live) - len(expired))
+    selection = _select(base, work, bound, base.end, limit)
     remaining = len(live) > len(expired) or has_grades
     if not expired and not selection.chosen and _grade_end(base, grades) == base.grade_end:
         return DeliveryPlan(record=None, send=False, reason=PlanReason.NOTHING_COMMITTED)
-    replaced = _extended(base, selection, _grade_end(base, grades), work, bound)
+    replaced = _next_delivery(base, selection, _grade_end(base, grades), work, bound)
     send = remaining or bool(selection.chosen) or replaced.grade_end > replaced.grade_start
     reason = PlanReason.REPLACED if send else PlanReason.EXPIRED_ONLY
     return DeliveryPlan(record=replaced, send=send, reason=reason)
 
 
 def _select(
-    record: DeliveryRecord, work: WorkRecord, bound: StalenessBound, after: int, room: int
+    record: DeliveryRecord, work: WorkRecord, bound: StalenessBound, after: int, limit: int
 ) -> _Selection:
-    """Choose units of one step, so that those of later steps are judged when they are needed."""
+    """Select units of a single step.
+
+    Units of later steps are checked against the bound when the trainer gets to those steps.
+    """
     void = {entry.ordinal for entry in record.void}
     chosen: list[UnitRecord] = []
     expired: list[VoidUnit] = []
     end = after
-    for ordinal, unit in _ordinals(work.batches, after):
-        if len(chosen) >= max(0, room) or (chosen and unit.step != chosen[0].step):
+    for ordinal, unit in _units_after(work.batches, after):
+        if len(chosen) >= max(0, limit) or (chosen and unit.step != chosen[0].step):
             break
         end = ordinal
         if ordinal in void or _was_delivered(record, unit.step, unit.unit):
@@ -166,18 +169,18 @@
         if bound.allows(unit.oldest_version):
             chosen.append(unit)
         else:
-            expired.append(_void(ordinal, unit))
+            expired.append(_void_unit(ordinal, unit))
     return _Selection(end=end, chosen=tuple(chosen), expired=tuple(expired))
 
 
-def _extended(
+def _next_delivery(
     base: DeliveryRecord,
     selection: _Selection,
     grade_end: int,
     work: WorkRecord,
     bound: StalenessBound,
 ) -> DeliveryRecord:
-    """Return the next delivery's record: *base* plus the selected units and grades."""
+    """Return the record of the next delivery: *base* plus the selected units and grades."""
     delivered = dict(base.delivered)
     remade = {step: dict(units) for step, units in base.remade.items()}
     for unit in selection.chosen:
@@ -190,14 +193,14 @@
         if step in work.steps and count_bits(bits) == work.steps[step].units
     ]
     return msgspec.structs.replace(
-        _with_void(base, selection.expired),
+        _add_void(base, selection.expired),
         cursor=base.cursor + 1,
         end=selection.end,
         grade_end=grade_end,
         delivered=delivered,
-        remade={step: units for step, units in remade.items() if _kept(step, work)},
+        remade={step: units for step, units in remade.items() if _is_retained(step, work)},
         whole_steps=tuple(sorted(whole)),
-        finished=tuple(step for step in base.finished if _kept(step, work)),
+        finished=tuple(step for step in base.finished if _is_retained(step, work)),
         declared_version=max(base.declared_version, bound.newest_version),
         delivered_units=base.delivered_units + len(selection.chosen),
         staleness_sum=base.staleness_sum
@@ -205,12 +208,12 @@
     )
 
 
-def _kept(step: int, work: WorkRecord) -> bool:
+def _is_retained(step: int, work: WorkRecord) -> bool:
     return step > work.floor
 
 
-def _with_void(record: DeliveryRecord, expired: Sequence[VoidUnit]) -> DeliveryRecord:
-    """Return the record with more void units, less those whose replacement was acknowledged."""
+def _add_void(record: DeliveryRecord, expired: Sequence[VoidUnit]) -> DeliveryRecord:
+    """Add void units to the record and drop those whose replacement was acknowledged."""
     acknowledged = record.acknowledged_ordinal
     kept = [
         entry
@@ -224,14 +227,14 @@
     return step in record.finished or has_bit(record.delivered.get(step, b""), unit)
 
 
-def _without_delivered(record: DeliveryRecord, expired: Sequence[VoidUnit]) -> DeliveryRecord:
+def _remove_delivered(record: DeliveryRecord, expired: Sequence[VoidUnit]) -> DeliveryRecord:
     delivered = dict(record.delivered)
     for entry in expired:
         delivered[entry.step] = without_bits(delivered.get(entry.step, b""), [entry.unit])
     return msgspec.structs.replace(record, delivered=delivered)
 
 
-def _void(ordinal: int, unit: UnitRecord) -> VoidUnit:
+def _void_unit(ordinal: int, unit: UnitRecord) -> VoidUnit:
     return VoidUnit(ordinal=ordinal, step=unit.step, unit=unit.unit, generation=unit.generation)
 
 
@@ -239,7 +242,7 @@
     return max([record.grade_end, *(batch.ordinal for batch in grades.batches)])
 
 
-def _ordinals(batches: Sequence[BatchRecord], after: int) -> Iterator[tuple[int, UnitRecord]]:
+def _units_after(batches: Sequence[BatchRecord], after: int) -> Iterator[tuple[int, UnitRecord]]:
     for batch in batches:
         if batch.last_ordinal <= after:
             continue
--- a/src/verbenawind/rollout/progress.py
+++ b/src/verbenawind/rollout/progress.py
@@ -1,4 +1,4 @@
-"""What a trainer's steps still need, and the work record after a commit; pure."""
+"""Computes the units that steps still need, and the next work record. Performs no I/O."""
 
 from collections.abc import Collection, Sequence
 
@@ -29,28 +29,28 @@
 
 
 class NeededUnit(msgspec.Struct, frozen=True, kw_only=True):
-    """A unit that has no live committed copy; ``generation`` is that of the next copy."""
+    """A unit without a valid committed copy; ``generation`` is that of the next copy."""
 
     unit: int
     generation: int
 
 
 class WorkChange(msgspec.Struct, frozen=True, kw_only=True):
-    """The next work record, and step rows that go with it."""
+    """The next work record, and the steps whose rows are deleted in the same transaction."""
 
     record: WorkRecord
     dropped_steps: tuple[int, ...]
 
 
 def is_finished(step: int, work: WorkRecord, delivery: DeliveryRecord) -> bool:
-    """Return whether a step was delivered whole and acknowledged."""
+    """Return whether a step was delivered completely and acknowledged."""
     return step <= work.floor or step in work.finished or step in delivery.finished
 
 
 def needed_units(
     step: int, units: StepUnits, work: WorkRecord, delivery: DeliveryRecord
 ) -> list[NeededUnit]:
-    """Return the units of a step that are still to be made."""
+    """Return the units of a step that have to be generated."""
     progress = work.steps.get(step)
     committed = progress.committed if progress else b""
     reopened = _reopened(step, work, delivery)
@@ -62,13 +62,13 @@
 
 
 def undelivered_units(work: WorkRecord, delivery: DeliveryRecord) -> list[tuple[int, int]]:
-    """Return the (step, unit) of committed units that wait to be delivered."""
+    """Return the (step, unit) of committed units that have not been delivered yet."""
     live = live_units(work, delivery, delivery.end, work.next_ordinal)
     return [(unit.step, unit.unit) for _, unit in live]
 
 
 def is_delivered_copy(step: int, unit: int, generation: int, delivery: DeliveryRecord) -> bool:
-    """Return whether *generation* is the one of a delivered unit that the trainer has."""
+    """Return whether *generation* of a delivered unit is the one that was delivered."""
     return delivery.remade.get(step, {}).get(unit, 1) == generation
 
 
@@ -84,25 +84,25 @@
     abandoned_keys: Collection[str] = (),
     deleted_keys: Collection[str] = (),
 ) -> WorkChange:
-    """Return the work record with a new batch, less what the trainer has acknowledged.
+    """Return the work record with a new batch and without the acknowledged ones.
 
-    ``graded_ordinal`` is the last graded unit where a scoring service grades, None elsewhere:
-    graded batches only may go then.
+    If a scoring service grades the samples, ``graded_ordinal`` is the last graded unit, and
+    batches are kept until they are graded; otherwise it is None.
     """
-    done = delivery.acknowledged_ordinal
+    last_releasable = delivery.acknowledged_ordinal
     if graded_ordinal is not None:
-        done = min(done, graded_ordinal)
-    gone = [entry for entry in work.batches if entry.last_ordinal <= done]
-    kept = [entry for entry in work.batches if entry.last_ordinal > done]
-    newly = {step for step in delivery.finished if step > work.floor} - {*work.finished}
-    finished = sorted({*work.finished, *newly})
-    steps = _with_batch(work.steps, batch, step_records)
+        last_releasable = min(last_releasable, graded_ordinal)
+    released = [entry for entry in work.batches if entry.last_ordinal <= last_releasable]
+    kept = [entry for entry in work.batches if entry.last_ordinal > last_releasable]
+    newly_finished = {step for step in delivery.finished if step > work.floor} - {*work.finished}
+    finished = sorted({*work.finished, *newly_finished})
+    steps = _add_batch(work.steps, batch, step_records)
     active = [step for step in steps if step not in finished]
-    dropped = _dropped(finished, active)
+    dropped = _past_retention(finished, active)
     garbage = [
         *(key for key in work.garbage if key not in deleted_keys),
-        *(entry.object_key for entry in gone),
-        *(record.object_key for record in step_records if record.step in newly),
+        *(entry.object_key for entry in released),
+        *(record.object_key for record in step_records if record.step in newly_finished),
         *abandoned_keys,
     ]
     record = WorkRecord(
@@ -119,7 +119,7 @@
     return WorkChange(record=record, dropped_steps=tuple(dropped))
 
 
-def _with_batch(
+def _add_batch(
     steps: dict[int, StepProgress], batch: BatchRecord | None, records: Sequence[StepRecord]
 ) -> dict[int, StepProgress]:
     changed = dict(steps)
@@ -136,12 +136,12 @@
 
 
 def _reopened(step: int, work: WorkRecord, delivery: DeliveryRecord) -> dict[int, int]:
-    """Return the units whose last copy is void, with the generation of the next copy."""
+    """Return the units whose last copy is void, mapped to the generation of the next copy."""
     last: dict[int, tuple[int, int]] = {}
     for entry in delivery.void:
         if entry.step == step:
-            known = last.get(entry.unit, (0, 0))
-            last[entry.unit] = max(known, (entry.ordinal, entry.generation))
+            previous = last.get(entry.unit, (0, 0))
+            last[entry.unit] = max(previous, (entry.ordinal, entry.generation))
     if not last:
         return {}
     bits = delivery.delivered.get(step, b"")
@@ -158,7 +158,7 @@
     }
 
 
-def _dropped(finished: Sequence[int], active: Sequence[int]) -> list[int]:
+def _past_retention(finished: Sequence[int], active: Sequence[int]) -> list[int]:
     oldest_active = min(active, default=None)
     excess = len(finished) - RETAINED_STEPS
     return [
--- a/src/verbenawind/rollout/scoring.py
+++ b/src/verbenawind/rollout/scoring.py
@@ -20,7 +20,7 @@
 from verbenawind.kernel.messages import BackendKind, ScoringRequest
 from verbenawind.kernel.ports import BackendClients, ObjectStore
 from verbenawind.kernel.rollouts import Grade, GradeSubmission, Sample
-from verbenawind.rollout.commits import TrainerState
+from verbenawind.rollout.commits import TrainerContext
 from verbenawind.rollout.grades import GradeBook
 from verbenawind.rollout.progress import is_delivered_copy
 from verbenawind.rollout.records import BatchRecord, decode_units
@@ -78,16 +78,16 @@
         self._tasks: dict[tuple[str, str], asyncio.Task[None]] = {}
         self._log = structlog.get_logger("rollout")
 
-    def graded_ordinal(self, state: TrainerState) -> int | None:
+    def graded_ordinal(self, context: TrainerContext) -> int | None:
         """Return the last graded unit, None for trainers without a scoring service."""
-        if state.trainer.scoring_service is None:
+        if context.trainer.scoring_service is None:
             return None
-        return self._graded.get((state.environment, state.trainer.name), 0)
+        return self._graded.get((context.environment, context.trainer.name), 0)
 
-    def take_in(self, state: TrainerState, rows: TrainerRows) -> None:
+    def take_in(self, context: TrainerContext, rows: TrainerRows) -> None:
         """Begin to grade the next acknowledged batch unless one is being graded."""
-        key = (state.environment, state.trainer.name)
-        spec = state.revision.document.scoring_service(state.trainer.scoring_service or "")
+        key = (context.environment, context.trainer.name)
+        spec = context.revision.document.scoring_service(context.trainer.scoring_service or "")
         running = self._tasks.get(key)
         if spec is None or (running is not None and not running.done()):
             return
@@ -98,7 +98,7 @@
             (entry for entry in rows.work.batches if graded < entry.last_ordinal <= done), None
         )
         if batch is not None:
-            work = self._grade(state, spec, rows, batch)
+            work = self._grade(context, spec, rows, batch)
             self._tasks[key] = asyncio.get_running_loop().create_task(work)
 
     async def stop(self) -> None:
@@ -108,7 +108,11 @@
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
     async def _grade(
-        self, state: TrainerState, spec: ScoringServiceSpec, rows: TrainerRows, batch: BatchRecord
+        self,
+        context: TrainerContext,
+        spec: ScoringServiceSpec,
+        rows: TrainerRows,
+        batch: BatchRecord,
     ) -> None:
         try:
             data = await self._objects.get(batch.object_key)
@@ -124,24 +128,24 @@
             limit = asyncio.Semaphore(_MAX_CALLS)
             async with asyncio.TaskGroup() as tasks:
                 scored = [tasks.create_task(self._score(spec, one, limit)) for one in samples]
-            await self._record(state, [task.result() for task in scored])
+            await self._record(context, [task.result() for task in scored])
         except StoreUnavailable as error:
             self._log.warning("grades_not_recorded", error=error.message)
             return
-        self._graded[state.environment, state.trainer.name] = batch.last_ordinal
+        self._graded[context.environment, context.trainer.name] = batch.last_ordinal
 
-    async def _record(self, state: TrainerState, grades: Sequence[Grade]) -> None:
+    async def _record(self, context: TrainerContext, grades: Sequence[Grade]) -> None:
         """Record grades; one that is known with another value stays as it is."""
         if not grades:
             return
         try:
             submission = GradeSubmission(grades=tuple(grades))
-            await self._grades.submit(state.revision, state.trainer, submission)
+            await self._grades.submit(context.revision, context.trainer, submission)
         except (GradeConflict, UnknownResource) as error:
             if len(grades) == 1:
                 self._log.info("grade_kept", sample_id=grades[0].sample_id, reason=error.message)
                 return
-            await asyncio.gather(*(self._record(state, [grade]) for grade in grades))
+            await asyncio.gather(*(self._record(context, [grade]) for grade in grades))
 
     async def _score(
         self, spec: ScoringServiceSpec, sample: Sample, limit: asyncio.Semaphore
--- a/src/verbenawind/rollout/service.py
+++ b/src/verbenawind/rollout/service.py
@@ -30,14 +30,14 @@
 )
 from verbenawind.metrics import Metrics
 from verbenawind.rollout.acceptance import StepAcceptor
-from verbenawind.rollout.delivery import Poller
+from verbenawind.rollout.delivery import PollHandler
 from verbenawind.rollout.drafts import SampleMaker, TokenCounts
 from verbenawind.rollout.grades import GradeBook
 from verbenawind.rollout.holder import StepHolder
 from verbenawind.rollout.holder_parts import HolderParts
 from verbenawind.rollout.policy import RolloutPolicy
 from verbenawind.rollout.scoring import Scorer
-from verbenawind.rollout.versions import VersionBook
+from verbenawind.rollout.versions import VersionRegistry
 from verbenawind.rollout.workforce import Workforce
 
 __all__ = ["Rollouts"]
@@ -90,7 +90,7 @@
         self._clock = clock
         self._peers = peers
         self.tokens = TokenCounts()
-        self.versions = VersionBook(table, peers, clock)
+        self.versions = VersionRegistry(table, peers, clock)
         self._acceptance = StepAcceptor(table, objects)
         self._grades = GradeBook(table, objects, clock, rng)
         self._scorer = Scorer(
@@ -101,7 +101,7 @@
             clock=clock,
             rng=rng,
         )
-        self._poller = Poller(
+        self._poll_handler = PollHandler(
             table, objects, self.versions, clock, rng, self._note_waiting, metrics or Metrics()
         )
         policy = policy or RolloutPolicy()
@@ -143,7 +143,7 @@
 
     async def stop(self) -> None:
         """Let samples in progress finish and be committed, then give the leases back."""
-        self._poller.stop()
+        self._poll_handler.stop()
         for holder in self._holders.values():
             holder.drain()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -154,7 +154,7 @@
 
     async def kill(self) -> None:
         """Stop at once, as a crash would."""
-        self._poller.stop()
+        self._poll_handler.stop()
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -175,7 +175,7 @@
         self, revision: EnvironmentRevision, trainer: TrainerSpec, request: PollRequest
     ) -> PollResponse:
         """Return what follows the cursor, waiting up to ``wait_s`` for something."""
-        return await self._poller.poll(revision, trainer, request)
+        return await self._poll_handler.poll(revision, trainer, request)
 
     async def publish_version(
         self, revision: EnvironmentRevision, model: ModelSpec, version: PublishedVersion
--- a/src/verbenawind/rollout/tenure.py
+++ b/src/verbenawind/rollout/tenure.py
@@ -4,7 +4,7 @@
 
 from verbenawind.kernel.ports import Lease
 from verbenawind.kernel.rendezvous import top
-from verbenawind.rollout.commits import TrainerState
+from verbenawind.rollout.commits import TrainerContext
 from verbenawind.rollout.holder_parts import HolderParts
 
 __all__ = ["ACQUIRE_PERIOD_S", "Tenure"]
@@ -22,10 +22,10 @@
         parts: What all holders share.
     """
 
-    __slots__ = ("_log", "_next_acquire_s", "_parts", "_state", "epoch", "lease")
+    __slots__ = ("_context", "_log", "_next_acquire_s", "_parts", "epoch", "lease")
 
-    def __init__(self, state: TrainerState, parts: HolderParts) -> None:
-        self._state = state
+    def __init__(self, context: TrainerContext, parts: HolderParts) -> None:
+        self._context = context
         self._parts = parts
         self._next_acquire_s = 0.0
         self._log = structlog.get_logger("rollout")
@@ -41,7 +41,7 @@
         """Forget a lease that has run out; return whether there was one."""
         if self.lease is None or self.is_held:
             return False
-        self._log.warning("lease_lapsed", trainer=self._state.trainer.name)
+        self._log.warning("lease_lapsed", trainer=self._context.trainer.name)
         self.lease = None
         return True
 
@@ -61,7 +61,7 @@
         self.epoch = self.lease.fencing_number
         self._log.info(
             "steps_held",
-            trainer=self._state.trainer.name,
+            trainer=self._context.trainer.name,
             epoch=self.epoch,
             reason="the lease was free or lapsed",
         )
@@ -74,7 +74,7 @@
 
     @property
     def _name(self) -> str:
-        return f"rollout/{self._state.environment}/{self._state.trainer.name}"
+        return f"rollout/{self._context.environment}/{self._context.trainer.name}"
 
     def _is_contender(self) -> bool:
         """Return whether this daemon is among the few that try to hold the trainer's steps."""
--- a/src/verbenawind/rollout/versions.py
+++ b/src/verbenawind/rollout/versions.py
@@ -1,4 +1,4 @@
-"""Published weight versions: recorded in the table, spread to the other daemons."""
+"""Published weight versions, stored in the table and gossiped to the other daemons."""
 
 from collections.abc import Mapping
 
@@ -13,20 +13,20 @@
 from verbenawind.rollout.records import VersionRecord, VersionTime, version_key
 from verbenawind.rollout.staleness import StalenessBound
 
-__all__ = ["VERSION_ITEM_KIND", "VersionBook"]
+__all__ = ["VERSION_ITEM_KIND", "VersionRegistry"]
 
 VERSION_ITEM_KIND = "version"
 _ATTEMPTS = 8
 _HISTORY_LENGTH = 64
 
 
-class VersionBook:
-    """Knows the newest version of each model; what it knows never goes back.
+class VersionRegistry:
+    """Tracks the newest known version of each model; it never goes back to an older one.
 
     Args:
-        table: The table service's client.
-        peers: Spreads publications.
-        clock: Wall-clock time of publications.
+        table: Client of the table service.
+        peers: Exchanges publications with the other daemons.
+        clock: Source of the wall-clock time of publications.
     """
 
     __slots__ = ("_clock", "_known", "_peers", "_table")
@@ -36,23 +36,29 @@
         self._peers = peers
         self._clock = clock
         self._known: dict[str, VersionRecord] = {}
-        peers.on_item(VERSION_ITEM_KIND, self._take_item)
+        peers.on_item(VERSION_ITEM_KIND, self._handle_item)
 
-    def learn(self, environment: str, record: VersionRecord) -> None:
-        """Take in a publication unless a newer one is known."""
+    def update(self, environment: str, record: VersionRecord) -> None:
+        """Record a publication unless the same or a newer version is known."""
         key = f"{environment}/{record.model}"
         known = self._known.get(key)
         if known is None or known.version < record.version:
             self._known[key] = record
 
-    def learn_rows(self, environment: str, model: str, rows: Mapping[str, Row]) -> None:
-        """Take in the model's version row, if it is among *rows*."""
+    def update_from_rows(self, environment: str, model: str, rows: Mapping[str, Row]) -> None:
+        """Record the publication in the version row of a model, if *rows* contains that row."""
         row = rows.get(version_key(environment, model))
         if row is not None:
-            self.learn(environment, msgspec.json.decode(row.value, type=VersionRecord))
+            self.update(environment, msgspec.json.decode(row.value, type=VersionRecord))
 
     def bound(self, environment: str, model: ModelSpec, declared: int = 0) -> StalenessBound:
-        """Return the staleness bound now; *declared* is the newest that the trainer names."""
+        """Return the current staleness bound of a model.
+
+        Args:
+            environment: The environment and stage as ``name/stage``.
+            model: The model.
+            declared: The newest version that the trainer has declared.
+        """
         known = self._known.get(f"{environment}/{model.name}")
         published = known.version if known else model.initial_version
         return StalenessBound(
@@ -65,15 +71,19 @@
     async def publish(
         self, revision: EnvironmentRevision, model: ModelSpec, version: PublishedVersion
     ) -> VersionAccepted:
-        """Record a new version durably, then spread it; an older one changes nothing."""
+        """Store a new version, then announce it to the other daemons.
+
+        A version that is not newer than the stored one changes nothing; the stored one is
+        announced and returned.
+        """
         key = version_key(revision.name, model.name)
         for _ in range(_ATTEMPTS):
             row = (await self._table.read([key])).get(key)
             known = msgspec.json.decode(row.value, type=VersionRecord) if row else None
             if known is not None and known.version >= version.version:
-                self._share(revision.name, known)
+                self._announce(revision.name, known)
                 return VersionAccepted(model=model.name, version=known.version)
-            record = self._next(model, version, known)
+            record = self._next_record(model, version, known)
             write = Write(
                 key=key,
                 value=msgspec.json.encode(record),
@@ -83,11 +93,11 @@
                 await self._table.commit(Transaction(operation_id=new_id("op"), writes=(write,)))
             except ConditionFailed:
                 continue
-            self._share(revision.name, record)
+            self._announce(revision.name, record)
             return VersionAccepted(model=model.name, version=version.version)
         raise ConditionFailed([key])
 
-    def _next(
+    def _next_record(
         self, model: ModelSpec, version: PublishedVersion, known: VersionRecord | None
     ) -> VersionRecord:
         published = VersionTime(
@@ -101,8 +111,8 @@
             history=history[-_HISTORY_LENGTH:],
         )
 
-    def _share(self, environment: str, record: VersionRecord) -> None:
-        self.learn(environment, record)
+    def _announce(self, environment: str, record: VersionRecord) -> None:
+        self.update(environment, record)
         item = SpreadItem(
             kind=VERSION_ITEM_KIND,
             key=f"{environment}/{record.model}",
@@ -111,6 +121,6 @@
         )
         self._peers.spread(item)
 
-    def _take_item(self, item: SpreadItem) -> None:
+    def _handle_item(self, item: SpreadItem) -> None:
         environment = item.key.rpartition("/")[0]
-        self.learn(environment, msgspec.json.decode(item.body, type=VersionRecord))
+        self.update(environment, msgspec.json.decode(item.body, type=VersionRecord))
