--- a/src/verbenawind/rollout/drafts.py
+++ b/src/verbenawind/rollout/drafts.py
@@ -1,4 +1,4 @@
-"""Makes the samples of one unit: draws them, labels them, gives up on those that expire."""
+"""Generates the samples of a unit, labelled with versions; restarts those that expire."""
 
 import asyncio
 from enum import Enum
@@ -22,15 +22,15 @@
 from verbenawind.rollout.stragglers import StreamProgress, StreamSpeeds
 from verbenawind.rollout.versions import VersionRegistry
 
-__all__ = ["Draft", "SampleMaker", "TokenCounts", "UnitJob", "sample_seed"]
+__all__ = ["Draft", "SampleGenerator", "TokenCounts", "UnitJob", "sample_seed"]
 
-_RETRY_S = 0.5
+_MIN_RETRY_DELAY_S = 0.5
 _SEED_PER_STEP = 1_000_003
 _SEED_PER_GROUP = 1009
 
 
 class UnitJob(Value, frozen=True, kw_only=True):
-    """The samples of one unit that are still to be made; ``members`` are (group, index)."""
+    """The samples of a unit that have to be generated; ``members`` are (group, index)."""
 
     environment: str
     trainer: str
@@ -49,7 +49,7 @@
 
 
 class TokenCounts:
-    """Counts tokens that were generated, and those thrown away."""
+    """Counters of generated and of discarded tokens."""
 
     __slots__ = ("generated", "wasted")
 
@@ -59,7 +59,7 @@
 
 
 class Draft:
-    """A sample in the making; spans follow the engines' reports."""
+    """A sample that is being generated; its version spans are those reported by engines."""
 
     __slots__ = ("finish_reason", "spans", "text", "token_ids")
 
@@ -71,21 +71,21 @@
 
     @property
     def oldest_version(self) -> int | None:
-        """The oldest version so far, None before the first token."""
+        """The oldest version so far, or None before the first token."""
         return min((span.version for span in self.spans), default=None)
 
     def add(self, event: TokensGenerated) -> None:
-        """Append a stretch of tokens.
+        """Append tokens.
 
         Raises:
-            BackendServerFailed: The stretch has no version, or leaves a gap.
+            BackendServerFailed: The tokens have no version, or do not follow the previous ones.
         """
         if event.version is None:
-            raise BackendServerFailed(f"attempt {event.attempt_id} has tokens without a version")
+            raise BackendServerFailed(f"attempt {event.attempt_id} sent tokens without a version")
         if event.start != len(self.token_ids):
             raise BackendServerFailed(
-                f"attempt {event.attempt_id} is at token {event.start}, "
-                f"the sample at {len(self.token_ids)}"
+                f"attempt {event.attempt_id} sent tokens from position {event.start}; "
+                f"expected {len(self.token_ids)}"
             )
         if not event.token_ids:
             return
@@ -98,19 +98,19 @@
         self.text.append(event.text)
 
 
-class _Ending(Enum):
-    """How a stream of one sample ended."""
+class _StreamEnd(Enum):
+    """How the stream of a sample ended; the value is the reason in log lines."""
 
-    WHOLE = "whole"
+    COMPLETE = "complete"
     EXPIRED = "older than the staleness bound"
-    MOVED = "slower than half of the usual speed, and other engines have room"
+    MOVED = "slower than half of the average speed, and other engines have free slots"
 
 
-class _Run:
-    """One sample while it is made; a request id stands for one draw."""
+class _SampleRun:
+    """The generation of one sample; a new request id means sampling from the start."""
 
     __slots__ = (
-        "counted",
+        "counted_tokens",
         "deadline_s",
         "draft",
         "group",
@@ -128,24 +128,24 @@
         self.deadline_s = deadline_s
         self.min_version = job.min_version
         self.draft = Draft()
-        self.draw_anew()
+        self.restart()
 
-    def draw_anew(self) -> None:
-        """Forget the tokens so far."""
+    def restart(self) -> None:
+        """Discard the tokens so far and start again with a new request id."""
         self.request_id = new_id("sample")
-        self.counted = 0
+        self.counted_tokens = 0
         self.moves = 0
 
 
-class SampleMaker:
-    """Draws samples on the engines that this daemon reaches.
+class SampleGenerator:
+    """Generates samples on the engines that this daemon can reach.
 
     Args:
-        generator: Runs the generations.
+        generator: Executes generation requests.
         versions: The newest weight versions.
         clock: Time source.
-        tokens: Where generated and wasted tokens are counted.
-        move_stragglers: Whether slow samples move to other engines.
+        tokens: Counters of generated and discarded tokens.
+        move_stragglers: Whether slow samples are moved to other engines.
     """
 
     __slots__ = (
@@ -175,53 +175,53 @@
         self._speeds = StreamSpeeds()
         self._log = structlog.get_logger("rollout")
 
-    async def make(self, job: UnitJob) -> tuple[Sample, ...]:
-        """Make every sample of a job.
+    async def generate_samples(self, job: UnitJob) -> tuple[Sample, ...]:
+        """Generate all samples of a job concurrently.
 
         Raises:
-            DeadlineExceeded: The job's time is over.
+            DeadlineExceeded: The timeout of the job expired.
         """
         deadline_s = self._clock.monotonic_s() + job.timeout_s
         async with asyncio.TaskGroup() as tasks:
-            made = [
-                tasks.create_task(self._sample(_Run(job, group, index, deadline_s)))
+            generating = [
+                tasks.create_task(self._generate_sample(_SampleRun(job, group, index, deadline_s)))
                 for group, index in job.members
             ]
-        return tuple(task.result() for task in made)
+        return tuple(task.result() for task in generating)
 
-    async def _sample(self, run: _Run) -> Sample:
+    async def _generate_sample(self, run: _SampleRun) -> Sample:
         while True:
             try:
-                ending = await self._stream(run)
+                stream_end = await self._stream(run)
             except (DeadlineExceeded, asyncio.CancelledError):
-                self._tokens.wasted += run.counted
+                self._tokens.wasted += run.counted_tokens
                 raise
             except VerbenawindError as error:
                 await self._retry_later(run, error)
                 continue
-            if ending is _Ending.WHOLE:
-                return _finished(run)
-            self._note(run, ending.value)
-            if ending is _Ending.EXPIRED:
-                self._tokens.wasted += run.counted
-                run.draw_anew()
+            if stream_end is _StreamEnd.COMPLETE:
+                return _to_sample(run)
+            self._log_interruption(run, stream_end.value)
+            if stream_end is _StreamEnd.EXPIRED:
+                self._tokens.wasted += run.counted_tokens
+                run.restart()
             else:
                 run.moves += 1
 
-    async def _retry_later(self, run: _Run, error: VerbenawindError) -> None:
-        """Wait before the same request goes on from the tokens that are held."""
-        self._note(run, error.message)
-        pause_s = max(_RETRY_S, error.retry_after_s or 0.0)
-        if self._clock.monotonic_s() + pause_s >= run.deadline_s:
-            self._tokens.wasted += run.counted
+    async def _retry_later(self, run: _SampleRun, error: VerbenawindError) -> None:
+        """Wait before the same request is resumed from the tokens generated so far."""
+        self._log_interruption(run, error.message)
+        delay_s = max(_MIN_RETRY_DELAY_S, error.retry_after_s or 0.0)
+        if self._clock.monotonic_s() + delay_s >= run.deadline_s:
+            self._tokens.wasted += run.counted_tokens
             raise DeadlineExceeded(error.message) from error
         run.min_version = 0
-        await self._clock.sleep(pause_s)
+        await self._clock.sleep(delay_s)
 
-    async def _stream(self, run: _Run) -> _Ending:
-        """Stream into a fresh draft; what a request held before comes again first."""
+    async def _stream(self, run: _SampleRun) -> _StreamEnd:
+        """Stream into a new sample; a resumed request repeats its earlier tokens first."""
         run.draft = Draft()
-        fresh_tokens, first_at_s = 0, 0.0
+        stream_tokens, first_token_at_s = 0, 0.0
         events = self._generator.generate(self._request(run))
         try:
             async for event in events:
@@ -229,27 +229,27 @@
                     run.draft.finish_reason = event.finish_reason
                     continue
                 run.draft.add(event)
-                new_tokens = self._count(run)
-                if not self._may_still_be_delivered(run):
-                    return _Ending.EXPIRED
+                new_tokens = self._count_new_tokens(run)
+                if not self._is_within_bound(run):
+                    return _StreamEnd.EXPIRED
                 if not new_tokens:
                     continue
                 now_s = self._clock.monotonic_s()
-                first_at_s = first_at_s or now_s
+                first_token_at_s = first_token_at_s or now_s
                 progress = StreamProgress(
-                    tokens=fresh_tokens, elapsed_s=now_s - first_at_s, moves=run.moves
+                    tokens=stream_tokens, elapsed_s=now_s - first_token_at_s, moves=run.moves
                 )
-                fresh_tokens += new_tokens
+                stream_tokens += new_tokens
                 if self._should_move(run, progress):
-                    return _Ending.MOVED
+                    return _StreamEnd.MOVED
         finally:
             await events.aclose()
         if not run.draft.spans:
-            raise BackendServerFailed(f"request {run.request_id} ended without a token")
-        self._learn(run, fresh_tokens, first_at_s)
-        return _Ending.WHOLE
+            raise BackendServerFailed(f"request {run.request_id} ended without generating a token")
+        self._record_speed(run, stream_tokens, first_token_at_s)
+        return _StreamEnd.COMPLETE
 
-    def _request(self, run: _Run) -> GenerateRequest:
+    def _request(self, run: _SampleRun) -> GenerateRequest:
         job = run.job
         bound = self._versions.bound(job.environment, job.model, job.declared_version)
         return GenerateRequest(
@@ -270,37 +270,37 @@
             move=run.moves > 0,
         )
 
-    def _count(self, run: _Run) -> int:
-        """Count the draft's tokens that were not counted before and return how many."""
-        new_tokens = max(0, len(run.draft.token_ids) - run.counted)
-        run.counted += new_tokens
+    def _count_new_tokens(self, run: _SampleRun) -> int:
+        """Count the tokens that were not counted before and return their number."""
+        new_tokens = max(0, len(run.draft.token_ids) - run.counted_tokens)
+        run.counted_tokens += new_tokens
         self._tokens.generated += new_tokens
         return new_tokens
 
-    def _should_move(self, run: _Run, progress: StreamProgress) -> bool:
+    def _should_move(self, run: _SampleRun, progress: StreamProgress) -> bool:
         if not self._move_stragglers:
             return False
         pool = run.job.model.pool
         return self._speeds.should_move(pool, progress, self._generator.free_slots(pool))
 
-    def _learn(self, run: _Run, tokens: int, first_at_s: float) -> None:
-        elapsed_s = self._clock.monotonic_s() - first_at_s
+    def _record_speed(self, run: _SampleRun, tokens: int, first_token_at_s: float) -> None:
+        elapsed_s = self._clock.monotonic_s() - first_token_at_s
         progress = StreamProgress(tokens=tokens, elapsed_s=elapsed_s, moves=run.moves)
-        self._speeds.learn(run.job.model.pool, progress)
+        self._speeds.record(run.job.model.pool, progress)
 
-    def _may_still_be_delivered(self, run: _Run) -> bool:
+    def _is_within_bound(self, run: _SampleRun) -> bool:
         oldest, job = run.draft.oldest_version, run.job
         bound = self._versions.bound(job.environment, job.model, job.declared_version)
         return oldest is None or bound.allows(oldest)
 
-    def _note(self, run: _Run, reason: str) -> None:
+    def _log_interruption(self, run: _SampleRun, reason: str) -> None:
         self._log.info(
             "sample_interrupted",
             trainer=run.job.trainer,
             step=run.job.step,
             group=run.group,
             index=run.index,
-            tokens=run.counted,
+            tokens=run.counted_tokens,
             moves=run.moves,
             oldest_version=run.draft.oldest_version,
             reason=reason,
@@ -308,11 +308,11 @@
 
 
 def sample_seed(step_seed: int, group: int, index: int) -> int:
-    """Return the seed of one sample; every generation of the sample has the same."""
+    """Return the seed of a sample, which is the same in every generation of its unit."""
     return step_seed * _SEED_PER_STEP + group * _SEED_PER_GROUP + index
 
 
-def _finished(run: _Run) -> Sample:
+def _to_sample(run: _SampleRun) -> Sample:
     job, draft = run.job, run.draft
     return Sample(
         sample_id=sample_id(job.environment, job.trainer, job.step, run.group, run.index),
--- a/src/verbenawind/rollout/holder.py
+++ b/src/verbenawind/rollout/holder.py
@@ -12,7 +12,6 @@
 from verbenawind.kernel.rollouts import Sample, StepSubmission
 from verbenawind.rollout.commits import BatchCommitter, FinishedUnit, TrainerContext
 from verbenawind.rollout.drafts import UnitJob
-from verbenawind.rollout.fresh_start import FreshStart, fresh_start
 from verbenawind.rollout.holder_parts import HolderParts
 from verbenawind.rollout.lengths import LengthEstimator
 from verbenawind.rollout.pacer import Pacer
@@ -24,6 +23,7 @@
 )
 from verbenawind.rollout.records import StepRecord
 from verbenawind.rollout.staleness import StalenessBound
+from verbenawind.rollout.start_decision import StartDecision, decide_start
 from verbenawind.rollout.tenure import ACQUIRE_PERIOD_S, Tenure
 from verbenawind.rollout.units import StepUnits
 
@@ -94,11 +94,11 @@
             model,
         )
 
-    def note_waiting(self) -> None:
+    def record_waiting(self) -> None:
         """Take in that the trainer waits for samples now."""
-        if not self._pacer.trainer_waits:
+        if not self._pacer.is_trainer_waiting:
             self._next_look_s = 0.0
-        self._pacer.note_waiting()
+        self._pacer.record_waiting()
         self._wake.set()
 
     def note_submitted(self) -> None:
@@ -214,7 +214,7 @@
         }
         self._cancel_finished()
         largest = max((step.units.count for step in self._steps.values()), default=1)
-        self._pacer.take_in(
+        self._pacer.update(
             rows.delivery, self._context.revision.document, self._context.model, largest
         )
         if self._context.trainer.scoring_service is not None:
@@ -280,7 +280,7 @@
 
     def _awaited_step(self) -> int | None:
         """Return the step that the trainer waits for, None while it has no need of one."""
-        if not self._pacer.trainer_waits:
+        if not self._pacer.is_trainer_waiting:
             return None
         undelivered = {step for step, _ in self._ahead_units()}
         open_steps = [
@@ -290,13 +290,13 @@
         ]
         return open_steps[0] if open_steps else None
 
-    def _freshness(self) -> FreshStart:
+    def _freshness(self) -> StartDecision:
         """Decide whether to wait for engines that still change to the newest version."""
         context, clock = self._context, self._parts.clock
         bound = self._parts.versions.bound(
             context.environment, context.model, self._committer.rows.delivery.declared_version
         )
-        return fresh_start(
+        return decide_start(
             bound,
             self._parts.active_versions(context.model),
             clock.now().timestamp(),
@@ -390,7 +390,7 @@
 
     async def _make(self, job: UnitJob) -> None:
         try:
-            made = await self._parts.workforce.make(job)
+            made = await self._parts.workforce.generate_samples(job)
         except VerbenawindError as error:
             self._log.warning("unit_failed", step=job.step, unit=job.unit, error=error.message)
             return
@@ -399,7 +399,7 @@
             return
         kept = self._partial.pop((job.step, job.unit), {})
         samples = sorted([*kept.values(), *made], key=lambda sample: (sample.group, sample.index))
-        self._lengths.learn(job.prompt, max(len(sample.token_ids) for sample in samples))
+        self._lengths.record_length(job.prompt, max(len(sample.token_ids) for sample in samples))
         self._committer.add(
             FinishedUnit(
                 step=job.step,
--- a/src/verbenawind/rollout/lengths.py
+++ b/src/verbenawind/rollout/lengths.py
@@ -19,7 +19,7 @@
         self._lengths: OrderedDict[int, float] = OrderedDict()
         self._mean = 0.0
 
-    def learn(self, prompt: str, token_count: int) -> None:
+    def record_length(self, prompt: str, token_count: int) -> None:
         """Record the length of the longest sample of a group, in tokens."""
         key = xxhash.xxh64_intdigest(prompt.encode())
         previous = self._lengths.pop(key, None)
--- a/src/verbenawind/rollout/pacing.py
+++ b/src/verbenawind/rollout/pacing.py
@@ -1,10 +1,10 @@
-"""Sets how far generation runs ahead of the trainer, from its idle time and staleness; pure."""
+"""Controls how far generation runs ahead of a trainer. Performs no I/O."""
 
 import math
 
 import msgspec
 
-__all__ = ["PacingInputs", "PacingState", "next_pacing"]
+__all__ = ["PacingDecision", "PacingInputs", "next_pacing"]
 
 _GAIN = 0.5
 _MIN_AHEAD_STEPS = 0.05
@@ -13,10 +13,11 @@
 
 
 class PacingInputs(msgspec.Struct, frozen=True, kw_only=True):
-    """What was measured since the last decision.
+    """Measurements since the last decision, and the settings of the document.
 
-    ``idle_ratio`` is the share of time that the trainer waited for samples; ``staleness_versions``
-    the mean age at delivery. ``max_versions`` is the bound.
+    ``idle_ratio`` is the fraction of time that the trainer waited for samples and
+    ``staleness_versions`` the mean staleness at delivery, in versions. ``max_versions`` is the
+    staleness bound.
     """
 
     idle_ratio: float
@@ -26,24 +27,26 @@
     max_versions: int
 
 
-class PacingState(msgspec.Struct, frozen=True, kw_only=True):
-    """How many steps' worth of undelivered samples there may be, and why."""
+class PacingDecision(msgspec.Struct, frozen=True, kw_only=True):
+    """The maximum number of undelivered samples, in steps, and the reason for it."""
 
     ahead_steps: float
     reason: str
 
 
-def next_pacing(ahead_steps: float, inputs: PacingInputs) -> PacingState:
-    """Return the next allowance: it rises with weighted idle time, falls with weighted staleness.
+def next_pacing(ahead_steps: float, inputs: PacingInputs) -> PacingDecision:
+    """Return the next lead, which rises with weighted idle time and falls with staleness.
 
-    An idle share of ``_IDLE_REFERENCE`` weighs like samples at the staleness bound. At rest the
-    two weighted costs are equal. More than ``max_versions`` steps ahead would be
-    made in vain, as a step usually yields a version.
+    An idle ratio of ``_IDLE_REFERENCE`` costs as much as samples at the staleness bound. In
+    equilibrium the weighted costs are equal. The lead is limited to ``max_versions`` steps: as
+    a step usually yields a version, samples further ahead would expire before delivery.
     """
     total = inputs.trainer_idle_weight + inputs.staleness_weight
     if total <= 0.0 or inputs.max_versions == 0:
         limit = float(max(inputs.max_versions, _MIN_AHEAD_STEPS))
-        return PacingState(ahead_steps=limit, reason="no weights, or no version may be missed")
+        return PacingDecision(
+            ahead_steps=limit, reason="both weights are zero, or max_versions is zero"
+        )
     idle_cost = inputs.trainer_idle_weight / total * inputs.idle_ratio / _IDLE_REFERENCE
     staleness = min(1.0, inputs.staleness_versions / inputs.max_versions)
     staleness_cost = inputs.staleness_weight / total * staleness
@@ -51,4 +54,4 @@
     factor = min(_MAX_CHANGE, max(1.0 / _MAX_CHANGE, factor))
     ahead = min(float(inputs.max_versions), max(_MIN_AHEAD_STEPS, ahead_steps * factor))
     reason = "idle time costs more" if idle_cost > staleness_cost else "staleness costs more"
-    return PacingState(ahead_steps=ahead, reason=reason)
+    return PacingDecision(ahead_steps=ahead, reason=reason)
--- a/src/verbenawind/rollout/service.py
+++ b/src/verbenawind/rollout/service.py
@@ -31,7 +31,7 @@
 from verbenawind.metrics import Metrics
 from verbenawind.rollout.acceptance import StepAcceptor
 from verbenawind.rollout.delivery import PollHandler
-from verbenawind.rollout.drafts import SampleMaker, TokenCounts
+from verbenawind.rollout.drafts import SampleGenerator, TokenCounts
 from verbenawind.rollout.grades import GradeBook
 from verbenawind.rollout.holder import StepHolder
 from verbenawind.rollout.holder_parts import HolderParts
@@ -105,7 +105,7 @@
             table, objects, self.versions, clock, rng, self._note_waiting, metrics or Metrics()
         )
         policy = policy or RolloutPolicy()
-        maker = SampleMaker(
+        maker = SampleGenerator(
             generator,
             self.versions,
             clock,
@@ -229,4 +229,4 @@
     def _take_waiting(self, key: tuple[str, str]) -> None:
         holder = self._holders.get(key)
         if holder is not None:
-            holder.note_waiting()
+            holder.record_waiting()
--- a/src/verbenawind/rollout/stragglers.py
+++ b/src/verbenawind/rollout/stragglers.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._speeds: dict[str, float] = {}
 
-    def learn(self, pool: str, progress: StreamProgress) -> None:
+    def record(self, pool: str, progress: StreamProgress) -> None:
         """Record the speed of a finished stream, unless it is too short to be representative."""
         if progress.tokens < _MIN_TOKENS or progress.elapsed_s <= 0.0:
             return
--- a/src/verbenawind/rollout/workforce.py
+++ b/src/verbenawind/rollout/workforce.py
@@ -11,7 +11,7 @@
 from verbenawind.kernel.messages import Value
 from verbenawind.kernel.ports import Generator, PeerBus
 from verbenawind.kernel.rollouts import Sample
-from verbenawind.rollout.drafts import SampleMaker, UnitJob
+from verbenawind.rollout.drafts import SampleGenerator, UnitJob
 
 __all__ = ["Workforce"]
 
@@ -54,7 +54,7 @@
     )
 
     def __init__(
-        self, maker: SampleMaker, generator: Generator, peers: PeerBus, clock: Clock
+        self, maker: SampleGenerator, generator: Generator, peers: PeerBus, clock: Clock
     ) -> None:
         self._maker = maker
         self._generator = generator
@@ -101,7 +101,7 @@
             self._slots.get((peer_id, pool), 0) for peer_id in helpers
         )
 
-    async def make(self, job: UnitJob) -> tuple[Sample, ...]:
+    async def generate_samples(self, job: UnitJob) -> tuple[Sample, ...]:
         """Make a job's samples where slots are free.
 
         Raises:
@@ -109,7 +109,7 @@
         """
         peer_id = self._choose(job)
         if peer_id is None:
-            return await self._maker.make(job)
+            return await self._maker.generate_samples(job)
         slot = (peer_id, job.model.pool)
         self._slots[slot] = self._slots.get(slot, 0) - len(job.members)
         try:
@@ -119,7 +119,7 @@
         except PeerUnreachable as error:
             self._slots.pop(slot, None)
             self._log.warning("peer_lost_job", peer_id=peer_id, error=error.message)
-            return await self._maker.make(job)
+            return await self._maker.generate_samples(job)
 
     async def _call(self, peer_id: str, job: UnitJob) -> bytes:
         """Have a peer make a job, as long as the peer is believed to be alive.
@@ -179,7 +179,7 @@
         job = msgspec.msgpack.decode(body, type=UnitJob)
         self.serving += 1
         try:
-            return msgspec.msgpack.encode(await self._maker.make(job))
+            return msgspec.msgpack.encode(await self._maker.generate_samples(job))
         finally:
             self.serving -= 1
 
--- a/tests/rollout/test_drafts.py
+++ b/tests/rollout/test_drafts.py
@@ -15,7 +15,7 @@
     TokensGenerated,
 )
 from verbenawind.kernel.rollouts import Sampling
-from verbenawind.rollout.drafts import SampleMaker, TokenCounts, UnitJob
+from verbenawind.rollout.drafts import SampleGenerator, TokenCounts, UnitJob
 from verbenawind.rollout.staleness import StalenessBound
 from verbenawind.standins.world import run_virtual
 
@@ -52,13 +52,13 @@
         async def scenario() -> None:
             generator = RefusingGenerator()
             bound = StalenessBound(spec=StalenessSpec(), newest_version=1, history=(), now_s=0.0)
-            maker = SampleMaker(
+            maker = SampleGenerator(
                 generator,  # type: ignore[arg-type]
                 SimpleNamespace(bound=lambda *_: bound),  # type: ignore[arg-type]
                 LoopClock(datetime(2026, 1, 1, tzinfo=UTC)),
                 TokenCounts(),
             )
-            samples = await maker.make(
+            samples = await maker.generate_samples(
                 UnitJob(
                     environment="e/trial",
                     trainer="t",
--- a/tests/rollout/test_pacing.py
+++ b/tests/rollout/test_pacing.py
@@ -3,15 +3,15 @@
 import pytest
 
 from verbenawind.document import EnvironmentDocument, StalenessSpec
-from verbenawind.rollout.fresh_start import fresh_start
 from verbenawind.rollout.lengths import LengthEstimator
 from verbenawind.rollout.pacing import PacingInputs, next_pacing
 from verbenawind.rollout.records import VersionTime
 from verbenawind.rollout.staleness import StalenessBound
+from verbenawind.rollout.start_decision import decide_start
 from verbenawind.rollout.units import StepUnits, count_bits, has_bit, with_bits, without_bits
 
 
-def _settled(trainer_idle_weight: float, staleness_weight: float) -> float:
+def _equilibrium(trainer_idle_weight: float, staleness_weight: float) -> float:
     """Return where pacing converges if idle time falls and staleness rises with the lead."""
     ahead = 1.0
     for _ in range(200):
@@ -29,12 +29,12 @@
 class TestPacing:
     def test_weights_steer_in_opposite_directions(self) -> None:
         """A greater weight of idle time increases the lead, one of staleness reduces it."""
-        assert _settled(4.0, 1.0) > _settled(1.0, 1.0) > _settled(1.0, 4.0)
+        assert _equilibrium(4.0, 1.0) > _equilibrium(1.0, 1.0) > _equilibrium(1.0, 4.0)
 
     def test_only_one_cost(self) -> None:
         """If one weight is zero, the lead converges to the limit set by the other cost."""
-        assert _settled(0.0, 1.0) == pytest.approx(0.05)
-        assert _settled(1.0, 0.0) == pytest.approx(1.0, abs=0.05)
+        assert _equilibrium(0.0, 1.0) == pytest.approx(0.05)
+        assert _equilibrium(1.0, 0.0) == pytest.approx(1.0, abs=0.05)
 
     def test_no_version_may_be_missed(self) -> None:
         """With a bound of zero versions the lead is the minimum."""
@@ -48,7 +48,7 @@
         assert next_pacing(1.0, inputs).ahead_steps == pytest.approx(0.05)
 
 
-class TestFreshStart:
+class TestDecideStart:
     @pytest.mark.parametrize(
         ("age_s", "staleness_weight", "active", "starts"),
         [
@@ -70,20 +70,20 @@
             now_s=100.0 + age_s,
         )
         document = EnvironmentDocument(environment="e", staleness_weight=staleness_weight)
-        assert fresh_start(bound, active, 100.0 + age_s, document).start is starts
+        assert decide_start(bound, active, 100.0 + age_s, document).start is starts
 
 
 class TestLengthEstimator:
     def test_learns_each_prompt(self) -> None:
         """A known prompt has its own estimate, an unknown one gets the mean."""
-        book = LengthEstimator()
-        assert book.expected_tokens("a") == 0
+        estimator = LengthEstimator()
+        assert estimator.expected_tokens("a") == 0
         for _ in range(20):
-            book.learn("a", 400)
-            book.learn("b", 100)
-        assert book.expected_tokens("a") == 400
-        assert book.expected_tokens("b") == 100
-        assert 100 < book.expected_tokens("c") < 400
+            estimator.record_length("a", 400)
+            estimator.record_length("b", 100)
+        assert estimator.expected_tokens("a") == 400
+        assert estimator.expected_tokens("b") == 100
+        assert 100 < estimator.expected_tokens("c") < 400
 
 
 class TestUnits:
