--- a/src/verbenawind/rollout/grades.py
+++ b/src/verbenawind/rollout/grades.py
@@ -287,8 +287,10 @@
 def _address(prefix: str, grade: Grade) -> _Address | None:
     if not grade.sample_id.startswith(prefix):
         return None
-    parts = grade.sample_id.removeprefix(prefix).split(":")
-    if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
+    dependencies = grade.sample_id.removeprefix(prefix).split(":")
+    if len(dependencies) != 3 or not all(
+        part.isascii() and part.isdigit() for part in dependencies
+    ):
         return None
-    step, group, index = map(int, parts)
+    step, group, index = map(int, dependencies)
     return _Address(step=step, group=group, index=index)
--- a/src/verbenawind/rollout/holder_parts.py
+++ b/src/verbenawind/rollout/holder_dependencies.py
@@ -1,4 +1,4 @@
-"""What every step holder of a daemon shares."""
+"""Services shared by all step holders of a daemon."""
 
 from random import Random
 
@@ -12,24 +12,24 @@
 from verbenawind.rollout.unit_dispatcher import UnitDispatcher
 from verbenawind.rollout.versions import VersionRegistry
 
-__all__ = ["HolderParts"]
+__all__ = ["HolderDependencies"]
 
 
-class HolderParts:
-    """What every holder of a daemon shares.
+class HolderDependencies:
+    """Services shared by all step holders of a daemon.
 
     Args:
-        table: The table service's client.
-        objects: The object store's client.
+        table: Client of the table service.
+        objects: Client of the object store.
         leases: The lease manager.
         versions: The newest weight versions.
-        workforce: Makes samples.
-        scorer: Has samples graded by scoring services.
+        dispatcher: Assigns jobs to this daemon and its peers.
+        scorer: Grades samples with scoring services.
         peers: The other daemons.
         clock: Time source.
-        rng: Jitter of retries.
-        policy: Which policies are in use.
-        fleet: The view of the engines.
+        rng: Source of retry jitter.
+        policy: The enabled policies.
+        fleet: The known engines.
     """
 
     __slots__ = (
@@ -74,7 +74,7 @@
         self.fleet = fleet
 
     def active_versions(self, model: ModelSpec) -> list[int | None]:
-        """Return the version of a model on each usable engine of its pool."""
+        """Return the active version of a model on each usable engine of its pool."""
         now_s = self.clock.monotonic_s()
         statuses = [
             view.status.model(model.name)
--- a/src/verbenawind/rollout/service.py
+++ b/src/verbenawind/rollout/service.py
@@ -34,7 +34,7 @@
 from verbenawind.rollout.drafts import SampleGenerator, TokenCounts
 from verbenawind.rollout.grades import GradeRecorder
 from verbenawind.rollout.holder import StepHolder
-from verbenawind.rollout.holder_parts import HolderParts
+from verbenawind.rollout.holder_dependencies import HolderDependencies
 from verbenawind.rollout.policy import RolloutPolicy
 from verbenawind.rollout.scoring import Scorer
 from verbenawind.rollout.unit_dispatcher import UnitDispatcher
@@ -113,7 +113,7 @@
             move_stragglers=policy.move_stragglers,
         )
         self._dispatcher = UnitDispatcher(sample_generator, generator, peers, clock)
-        self._parts = HolderParts(
+        self._dependencies = HolderDependencies(
             table=table,
             objects=objects,
             leases=leases,
@@ -212,7 +212,7 @@
         if existing is not None:
             existing.configure(revision, trainer, model)
             return
-        holder = StepHolder(revision, trainer, model, self._parts)
+        holder = StepHolder(revision, trainer, model, self._dependencies)
         self._holders[key] = holder
         self._tasks[key] = asyncio.get_running_loop().create_task(holder.run())
 
