--- a/tests/rollout/scenarios.py
+++ b/tests/rollout/harness.py
@@ -58,7 +58,7 @@
     )
 
 
-class Scene:
+class RolloutHarness:
     """Simulated daemons and engines, and the calls of one trainer.
 
     Args:
@@ -84,10 +84,10 @@
         self.samples: dict[str, Sample] = {}
         self.counts: Counter[str] = Counter()
         self.grades: list[DeliveredGrade] = []
-        self.whole: Counter[int] = Counter()
+        self.whole_steps_seen: Counter[int] = Counter()
         self.revision: EnvironmentRevision | None = None
 
-    async def start(self) -> "Scene":
+    async def start(self) -> "RolloutHarness":
         """Start the daemons and apply the document."""
         for core in self.cores:
             await core.start()
@@ -123,7 +123,7 @@
             except StoreUnavailable:
                 await asyncio.sleep(1.0)
 
-    async def ask(
+    async def poll_once(
         self, index: int = 0, *, wait_s: float = 5.0, cursor: int | None = None
     ) -> PollResponse:
         """Poll without processing the response."""
@@ -135,12 +135,12 @@
         )
         return await self.core(index).rollouts.poll(self.revision, self.trainer, request)
 
-    def take(self, answer: PollResponse) -> None:
+    def process_response(self, response: PollResponse) -> None:
         """Process a response: check labels and staleness, count samples."""
-        self.cursor = answer.cursor
-        self.whole.update(answer.whole_steps)
-        self.grades += answer.grades
-        for group in answer.groups:
+        self.cursor = response.cursor
+        self.whole_steps_seen.update(response.whole_steps)
+        self.grades += response.grades
+        for group in response.groups:
             for sample in group.samples:
                 prompt = f"s{sample.step} g{sample.group}"
                 seed = sample.step * 1_000_003 + sample.group * 1009 + sample.index
@@ -157,7 +157,7 @@
             while len(self.samples) < wanted:
                 number += 1
                 try:
-                    self.take(await self.ask(number))
+                    self.process_response(await self.poll_once(number))
                 except StoreUnavailable:
                     await asyncio.sleep(1.0)
         assert set(self.counts.values()) == {1}
@@ -172,6 +172,6 @@
         await self.core(index).rollouts.publish_version(self.revision, self.model, published)
         self.version = version
 
-    async def remove(self, name: str) -> None:
+    async def kill_daemon(self, name: str) -> None:
         """Kill a daemon without restarting it."""
         await self.world.daemons.pop(name).kill()
--- a/tests/rollout/test_drafts.py
+++ b/tests/rollout/test_drafts.py
@@ -26,14 +26,14 @@
     """Refuses every request for ``REFUSED_S``, then generates one token."""
 
     def __init__(self) -> None:
-        self.asked_at_s: list[float] = []
+        self.requested_at_s: list[float] = []
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
         now_s = asyncio.get_running_loop().time()
-        self.asked_at_s.append(now_s)
-        if now_s < self.asked_at_s[0] + REFUSED_S:
+        self.requested_at_s.append(now_s)
+        if now_s < self.requested_at_s[0] + REFUSED_S:
             raise RequestConvicted(
-                "refused for a term", retry_after_s=self.asked_at_s[0] + REFUSED_S - now_s
+                "refused for a term", retry_after_s=self.requested_at_s[0] + REFUSED_S - now_s
             )
         yield TokensGenerated(attempt_id="a", start=0, token_ids=(5,), text="x", version=1)
         yield GenerationEnded(attempt_id="a", token_count=1, finish_reason="stop")
@@ -43,7 +43,7 @@
 
 
 class TestRefusals:
-    def test_refused_sample_is_asked_for_again_when_told(self) -> None:
+    def test_refused_sample_is_retried_at_given_time(self) -> None:
         """A refusal with a retry time leads to a single retry at that time.
 
         Guards against retrying at the default interval, which sends many refused requests.
@@ -52,13 +52,13 @@
         async def scenario() -> None:
             generator = RefusingGenerator()
             bound = StalenessBound(spec=StalenessSpec(), newest_version=1, history=(), now_s=0.0)
-            maker = SampleGenerator(
+            sample_generator = SampleGenerator(
                 generator,  # type: ignore[arg-type]
                 SimpleNamespace(bound=lambda *_: bound),  # type: ignore[arg-type]
                 LoopClock(datetime(2026, 1, 1, tzinfo=UTC)),
                 TokenCounts(),
             )
-            samples = await maker.generate_samples(
+            samples = await sample_generator.generate_samples(
                 UnitJob(
                     environment="e/trial",
                     trainer="t",
@@ -74,6 +74,6 @@
                 )
             )
             assert samples[0].token_ids == (5,)
-            assert [round(at_s, 3) for at_s in generator.asked_at_s] == [0.0, REFUSED_S]
+            assert [round(at_s, 3) for at_s in generator.requested_at_s] == [0.0, REFUSED_S]
 
         run_virtual(scenario())
--- a/tests/rollout/test_pacing.py
+++ b/tests/rollout/test_pacing.py
@@ -27,7 +27,7 @@
 
 
 class TestPacing:
-    def test_weights_steer_in_opposite_directions(self) -> None:
+    def test_weights_have_opposite_effects(self) -> None:
         """A greater weight of idle time increases the lead, one of staleness reduces it."""
         assert _equilibrium(4.0, 1.0) > _equilibrium(1.0, 1.0) > _equilibrium(1.0, 4.0)
 
@@ -36,7 +36,7 @@
         assert _equilibrium(0.0, 1.0) == pytest.approx(0.05)
         assert _equilibrium(1.0, 0.0) == pytest.approx(1.0, abs=0.05)
 
-    def test_no_version_may_be_missed(self) -> None:
+    def test_zero_versions_bound(self) -> None:
         """With a bound of zero versions the lead is the minimum."""
         inputs = PacingInputs(
             idle_ratio=1.0,
