--- a/src/verbenawind/rollout/holder.py
+++ b/src/verbenawind/rollout/holder.py
@@ -11,7 +11,6 @@
 from verbenawind.errors import ConditionFailed, LeaseLost, StoreUnavailable, VerbenawindError
 from verbenawind.kernel.rollouts import Sample, StepSubmission
 from verbenawind.rollout.commits import BatchCommitter, FinishedUnit, TrainerContext
-from verbenawind.rollout.drafts import UnitJob
 from verbenawind.rollout.holder_dependencies import HolderDependencies
 from verbenawind.rollout.lengths import LengthEstimator
 from verbenawind.rollout.pacer import Pacer
@@ -22,6 +21,7 @@
     undelivered_units,
 )
 from verbenawind.rollout.records import StepRecord
+from verbenawind.rollout.sample_generation import UnitJob
 from verbenawind.rollout.staleness import StalenessBound
 from verbenawind.rollout.start_decision import StartDecision, decide_start
 from verbenawind.rollout.trainer_lease import ACQUIRE_PERIOD_S, TrainerLease
--- a/src/verbenawind/rollout/drafts.py
+++ b/src/verbenawind/rollout/sample_generation.py
@@ -22,7 +22,7 @@
 from verbenawind.rollout.stragglers import StreamProgress, StreamSpeeds
 from verbenawind.rollout.versions import VersionRegistry
 
-__all__ = ["Draft", "SampleGenerator", "TokenCounts", "UnitJob", "sample_seed"]
+__all__ = ["PartialSample", "SampleGenerator", "TokenCounts", "UnitJob", "sample_seed"]
 
 _MIN_RETRY_DELAY_S = 0.5
 _SEED_PER_STEP = 1_000_003
@@ -58,7 +58,7 @@
         self.wasted = 0
 
 
-class Draft:
+class PartialSample:
     """A sample that is being generated; its version spans are those reported by engines."""
 
     __slots__ = ("finish_reason", "spans", "text", "token_ids")
@@ -127,7 +127,7 @@
         self.index = index
         self.deadline_s = deadline_s
         self.min_version = job.min_version
-        self.partial_sample = Draft()
+        self.partial_sample = PartialSample()
         self.restart()
 
     def restart(self) -> None:
@@ -220,7 +220,7 @@
 
     async def _stream(self, run: _SampleRun) -> _StreamEnd:
         """Stream into a new sample; a resumed request repeats its earlier tokens first."""
-        run.partial_sample = Draft()
+        run.partial_sample = PartialSample()
         stream_tokens, first_token_at_s = 0, 0.0
         events = self._generator.generate(self._request(run))
         try:
--- a/src/verbenawind/rollout/service.py
+++ b/src/verbenawind/rollout/service.py
@@ -31,11 +31,11 @@
 from verbenawind.metrics import Metrics
 from verbenawind.rollout.acceptance import StepAcceptor
 from verbenawind.rollout.delivery import PollHandler
-from verbenawind.rollout.drafts import SampleGenerator, TokenCounts
 from verbenawind.rollout.grades import GradeRecorder
 from verbenawind.rollout.holder import StepHolder
 from verbenawind.rollout.holder_dependencies import HolderDependencies
 from verbenawind.rollout.policy import RolloutPolicy
+from verbenawind.rollout.sample_generation import SampleGenerator, TokenCounts
 from verbenawind.rollout.scoring import Scorer
 from verbenawind.rollout.unit_dispatcher import UnitDispatcher
 from verbenawind.rollout.versions import VersionRegistry
--- a/src/verbenawind/rollout/unit_dispatcher.py
+++ b/src/verbenawind/rollout/unit_dispatcher.py
@@ -11,7 +11,7 @@
 from verbenawind.kernel.messages import Value
 from verbenawind.kernel.ports import Generator, PeerBus
 from verbenawind.kernel.rollouts import Sample
-from verbenawind.rollout.drafts import SampleGenerator, UnitJob
+from verbenawind.rollout.sample_generation import SampleGenerator, UnitJob
 
 __all__ = ["UnitDispatcher"]
 
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -11,7 +11,7 @@
 from verbenawind.errors import Outcome, StreamTruncated
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import EngineEvent, TokensGenerated
-from verbenawind.rollout import delivery, drafts, grades, plan
+from verbenawind.rollout import delivery, grades, plan, sample_generation
 from verbenawind.rollout.staleness import StalenessBound
 from verbenawind.routing import dispatcher, runs
 from verbenawind.routing.claims import Claims
@@ -148,12 +148,12 @@
 
 def label_with_the_newest_version(patch: Patch) -> None:
     """Label samples with the version that was ordered instead of the engine's word."""
-    add = drafts.Draft.add
+    add = sample_generation.PartialSample.add
 
-    def mutant(self: drafts.Draft, event: TokensGenerated) -> None:
+    def mutant(self: sample_generation.PartialSample, event: TokensGenerated) -> None:
         add(self, msgspec.structs.replace(event, version=1))
 
-    patch.setattr(drafts.Draft, "add", mutant)
+    patch.setattr(sample_generation.PartialSample, "add", mutant)
 
 
 def skip_the_staleness_check(patch: Patch) -> None:
--- a/tests/rollout/test_sample_generation.py
+++ b/tests/rollout/test_sample_generation.py
@@ -15,7 +15,7 @@
     TokensGenerated,
 )
 from verbenawind.kernel.rollouts import Sampling
-from verbenawind.rollout.drafts import SampleGenerator, TokenCounts, UnitJob
+from verbenawind.rollout.sample_generation import SampleGenerator, TokenCounts, UnitJob
 from verbenawind.rollout.staleness import StalenessBound
 from verbenawind.standins.world import run_virtual
 
