--- a/src/verbenawind/cli/__init__.py
+++ b/src/verbenawind/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line ``verbenawind``."""
+"""The operators' command-line client ``verbenawind``."""
 
 from verbenawind.cli.exit_codes import ExitCode
 from verbenawind.cli.main import main, run
--- a/src/verbenawind/cli/__main__.py
+++ b/src/verbenawind/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m verbenawind.cli``."""
+"""Entry point of ``python -m verbenawind.cli``."""
 
 from verbenawind.cli.main import run
 
--- a/src/verbenawind/cli/client.py
+++ b/src/verbenawind/cli/client.py
@@ -1,4 +1,7 @@
-"""Speaks to a daemon's operators' interface and says truly what became of a change."""
+"""HTTP client for the operator API of a daemon.
+
+A change is reported as not made only where that is certain.
+"""
 
 from collections.abc import Mapping
 from typing import Any
@@ -6,24 +9,24 @@
 import httpx
 import msgspec
 
-from verbenawind.cli.exit_codes import ExitCode, exit_code_of
+from verbenawind.cli.exit_codes import ExitCode, exit_code_for
 
 __all__ = ["CommandFailed", "OperatorClient"]
 
 _CONNECT_TIMEOUT_S = 5.0
 _READ_TIMEOUT_S = 60.0
-_NOTHING_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
-_LOOK_FIRST = "the change may have taken effect: look with 'status' or 'history' before a retry"
+_NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
+_CHECK_BEFORE_RETRY = "the change may have taken effect: check 'status' or 'history' before a retry"
 
 
 class CommandFailed(Exception):
-    """Raised when a command ends without its result.
+    """Raised when a command fails.
 
     Args:
-        exit_code: What the program exits with.
-        message: What failed.
+        exit_code: The exit code of the program.
+        message: The error message.
         details: One line for each fault or difference.
-        error: The daemon's error answer, where there was one.
+        error: The daemon's error response, if there was one.
     """
 
     def __init__(
@@ -41,11 +44,11 @@
 
 
 class OperatorClient:
-    """Sends an operator's requests to one daemon.
+    """Sends operator requests to one daemon.
 
     Args:
         server: URL of the daemon.
-        token: The operators' bearer token.
+        token: The bearer token of the operators.
         transport: Replaces the network in tests.
     """
 
@@ -64,12 +67,12 @@
         )
 
     def get(self, path: str) -> Any:
-        """Return the answer to a GET; raises CommandFailed."""
-        return self._send("GET", path, changes=False)
+        """Send a GET and return the response; raise CommandFailed on errors."""
+        return self._send("GET", path, mutating=False)
 
-    def ask(self, path: str, content: str) -> Any:
-        """Return the answer to a POST that changes nothing; raises CommandFailed."""
-        return self._send("POST", path, changes=False, content=content)
+    def query(self, path: str, content: str) -> Any:
+        """Send a POST without effect and return the response; raise CommandFailed on errors."""
+        return self._send("POST", path, mutating=False, content=content)
 
     def change(
         self,
@@ -79,9 +82,15 @@
         content: str = "",
         parameters: Mapping[str, str | int | None] | None = None,
     ) -> Any:
-        """Return the answer to a request that changes something; raises CommandFailed."""
-        given = {name: value for name, value in (parameters or {}).items() if value is not None}
-        return self._send(method, path, changes=True, content=content, parameters=given)
+        """Send a request that makes a change and return the response.
+
+        Raises:
+            CommandFailed: The request failed; the exit code tells whether it may have run.
+        """
+        parameters_set = {
+            name: value for name, value in (parameters or {}).items() if value is not None
+        }
+        return self._send(method, path, mutating=True, content=content, parameters=parameters_set)
 
     def close(self) -> None:
         """Close the connection."""
@@ -92,7 +101,7 @@
         method: str,
         path: str,
         *,
-        changes: bool,
+        mutating: bool,
         content: str = "",
         parameters: Mapping[str, str | int] | None = None,
     ) -> Any:
@@ -100,44 +109,45 @@
             response = self._client.request(
                 method, path, content=content.encode(), params=parameters
             )
-        except (*_NOTHING_SENT, httpx.InvalidURL) as error:
+        except (*_NOT_SENT_ERRORS, httpx.InvalidURL) as error:
             raise CommandFailed(
                 ExitCode.UNREACHABLE, f"no daemon answers at {self._server}: {error}"
             ) from error
         except httpx.HTTPError as error:
-            if not changes:
+            if not mutating:
                 raise CommandFailed(
-                    ExitCode.UNREACHABLE, f"the daemon at {self._server} gave no answer: {error!r}"
+                    ExitCode.UNREACHABLE,
+                    f"no response from the daemon at {self._server}: {error!r}",
                 ) from error
             raise CommandFailed(
                 ExitCode.OUTCOME_UNKNOWN,
-                f"the daemon at {self._server} gave no answer ({error!r}); {_LOOK_FIRST}",
+                f"no response from the daemon at {self._server} ({error!r}); {_CHECK_BEFORE_RETRY}",
             ) from error
         if response.is_success:
-            return _decoded(response, changes)
-        raise _failure(response, changes)
+            return _decode_response(response, mutating)
+        raise _command_failure(response, mutating)
 
 
-def _decoded(response: httpx.Response, changes: bool) -> Any:
+def _decode_response(response: httpx.Response, mutating: bool) -> Any:
     try:
         return msgspec.json.decode(response.content)
     except msgspec.DecodeError as error:
-        code = ExitCode.OUTCOME_UNKNOWN if changes else ExitCode.REFUSED
-        raise CommandFailed(code, f"the answer is no JSON: {response.text[:200]!r}") from error
+        code = ExitCode.OUTCOME_UNKNOWN if mutating else ExitCode.REFUSED
+        raise CommandFailed(code, f"the response is not JSON: {response.text[:200]!r}") from error
 
 
-def _failure(response: httpx.Response, changes: bool) -> CommandFailed:
+def _command_failure(response: httpx.Response, mutating: bool) -> CommandFailed:
     try:
         error = msgspec.json.decode(response.content, type=dict[str, dict[str, Any]])["error"]
     except (msgspec.DecodeError, KeyError):
-        unknown = changes and response.is_server_error
+        unknown = mutating and response.is_server_error
         code = ExitCode.OUTCOME_UNKNOWN if unknown else ExitCode.REFUSED
         return CommandFailed(code, f"status {response.status_code}: {response.text[:200]!r}")
     message = str(error.get("message", ""))
-    outcome = str(error.get("outcome", "may_have_run")) if changes else "not_run"
-    exit_code = exit_code_of(str(error.get("code", "")), outcome)
+    outcome = str(error.get("outcome", "may_have_run")) if mutating else "not_run"
+    exit_code = exit_code_for(str(error.get("code", "")), outcome)
     if exit_code is ExitCode.OUTCOME_UNKNOWN:
-        message = f"{message}; {_LOOK_FIRST}"
+        message = f"{message}; {_CHECK_BEFORE_RETRY}"
     if (retry_after_s := error.get("retry_after_s")) is not None:
         message = f"{message} (retry after {retry_after_s} s)"
     details = (*error.get("faults", ()), *error.get("difference", ()))
--- a/src/verbenawind/cli/commands.py
+++ b/src/verbenawind/cli/commands.py
@@ -1,4 +1,4 @@
-"""What a command is, and the registry that commands enter themselves into."""
+"""The command type and the registry of commands."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -17,11 +17,11 @@
 
     Args:
         arguments: The arguments after the command's name.
-        client: Speaks to a daemon.
-        stage: The stage to work on.
-        author: Who makes the change.
-        expect_revision: The revision that must be in force, None for any.
-        digest: The digest that must be promoted, empty for any.
+        client: The client for the daemon.
+        stage: The stage that the command applies to.
+        author: The author of the change.
+        expect_revision: The revision that must be in force, or None for any.
+        digest: The digest that the promoted document must have, or empty for any.
     """
 
     __slots__ = ("arguments", "author", "client", "digest", "expect_revision", "stage")
@@ -45,7 +45,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """What a command prints: ``value`` with ``--json``, ``text`` without."""
+    """The output of a command: ``value`` with ``--json``, ``text`` without."""
 
     value: Any
     text: str
@@ -53,15 +53,15 @@
 
 
 class Command(msgspec.Struct, frozen=True, kw_only=True):
-    """A command of ``verbenawind`` and the help on it."""
+    """A command of ``verbenawind`` with its help text."""
 
     arguments: tuple[str, ...]
     flags: tuple[str, ...]
     help: str
     run: Callable[[Invocation], Result]
 
-    def takes(self, count: int) -> bool:
-        """Return whether so many arguments fit; a last one that ends in dots may be repeated."""
+    def accepts(self, count: int) -> bool:
+        """Return whether *count* arguments are valid; a last name with "..." may be repeated."""
         if self.arguments and self.arguments[-1].endswith("..."):
             return count >= len(self.arguments)
         return count == len(self.arguments)
@@ -73,7 +73,7 @@
 def command(
     name: str, *arguments: str, flags: tuple[str, ...] = ()
 ) -> Callable[[Callable[[Invocation], Result]], Callable[[Invocation], Result]]:
-    """Return a decorator that registers a function, whose docstring is the help."""
+    """Return a decorator that registers a function as a command; its docstring is the help."""
 
     def decorate(run: Callable[[Invocation], Result]) -> Callable[[Invocation], Result]:
         COMMANDS.register(name)(
--- a/src/verbenawind/cli/exit_codes.py
+++ b/src/verbenawind/cli/exit_codes.py
@@ -1,14 +1,14 @@
-"""The exit codes of ``verbenawind`` and how errors of a daemon map to them."""
+"""The exit codes of ``verbenawind`` and their mapping from error responses."""
 
 from enum import IntEnum
 
 from verbenawind.errors import Outcome
 
-__all__ = ["DESCRIPTIONS", "ExitCode", "exit_code_of"]
+__all__ = ["DESCRIPTIONS", "ExitCode", "exit_code_for"]
 
 
 class ExitCode(IntEnum):
-    """What became of the command."""
+    """The result of a command."""
 
     DONE = 0
     DIFFERENT = 1
@@ -23,19 +23,19 @@
 
 
 DESCRIPTIONS = {
-    ExitCode.DONE: "done; for diff: the documents are the same",
-    ExitCode.DIFFERENT: "diff found differences",
-    ExitCode.USAGE: "the command line is wrong; nothing was sent",
-    ExitCode.INVALID: "the document has faults, all of them are printed; nothing changed",
-    ExitCode.CONFLICT: "another revision is in force than was expected; nothing changed",
-    ExitCode.UNREACHABLE: "no daemon answered and nothing was sent to it; nothing changed",
-    ExitCode.OUTCOME_UNKNOWN: "no answer came: the change may have taken effect; look first",
-    ExitCode.UNAUTHORIZED: "the operators' token is missing or wrong; nothing changed",
-    ExitCode.NOT_FOUND: "there is no such environment, revision, server or request",
-    ExitCode.REFUSED: "the daemon refused the command; nothing changed",
+    ExitCode.DONE: "success; for diff: the documents are equal",
+    ExitCode.DIFFERENT: "diff: the documents differ",
+    ExitCode.USAGE: "invalid command line; nothing was sent",
+    ExitCode.INVALID: "invalid document; all faults are printed, nothing changed",
+    ExitCode.CONFLICT: "another revision than expected is in force; nothing changed",
+    ExitCode.UNREACHABLE: "no daemon could be reached; nothing changed",
+    ExitCode.OUTCOME_UNKNOWN: "no response: the change may have taken effect; check before a retry",
+    ExitCode.UNAUTHORIZED: "the operators' token is missing or invalid; nothing changed",
+    ExitCode.NOT_FOUND: "unknown environment, revision, server or request",
+    ExitCode.REFUSED: "the daemon rejected the command; nothing changed",
 }
 
-_BY_CODE = {
+_EXIT_CODE_BY_ERROR_CODE = {
     "document_invalid": ExitCode.INVALID,
     "revision_conflict": ExitCode.CONFLICT,
     "unauthorized": ExitCode.UNAUTHORIZED,
@@ -44,8 +44,8 @@
 }
 
 
-def exit_code_of(code: str, outcome: str) -> ExitCode:
-    """Return the exit code of an error answer with a code and an outcome."""
+def exit_code_for(code: str, outcome: str) -> ExitCode:
+    """Return the exit code for an error response with this code and outcome."""
     if outcome != Outcome.NOT_RUN:
         return ExitCode.OUTCOME_UNKNOWN
-    return _BY_CODE.get(code, ExitCode.REFUSED)
+    return _EXIT_CODE_BY_ERROR_CODE.get(code, ExitCode.REFUSED)
--- a/src/verbenawind/cli/logs.py
+++ b/src/verbenawind/cli/logs.py
@@ -1,4 +1,4 @@
-"""Commands that read files of the daemons, and need no daemon."""
+"""Commands that read the daemons' files and need no running daemon."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -14,40 +14,41 @@
 
 __all__: list[str] = []
 
-# Fields that name requests, jobs and servers.
+# Fields that hold the ID of a request, job or server.
 _ID_FIELDS = ("request_id", "job_id", "server", "owner", "group")
-_SHOWN_FIRST = ("timestamp", "event", "host", "level", "logger")
+_LEADING_FIELDS = ("timestamp", "event", "host", "level", "logger")
 
 
 @command("trace", "ID", "FILE...")
-def trace(call: Invocation) -> Result:
-    """Put the log lines of a request, job or server from several hosts in order of time.
+def trace(invocation: Invocation) -> Result:
+    """Merge the log lines of a request, job or server from several hosts, sorted by time.
 
-    With the id of a batch item the lines of its job are shown as well. Times are those of the
-    hosts that wrote the lines; clocks of two hosts may differ.
+    With the ID of a batch item, the lines of its job are included. Timestamps are from the hosts'
+    own clocks, which may differ.
     """
-    wanted, *paths = call.arguments
-    lines = [line for path in paths for line in _lines(path)]
-    ids = {wanted} | {
+    identifier, *paths = invocation.arguments
+    lines = [line for path in paths for line in _read_lines(path)]
+    related_ids = {identifier} | {
         str(line["job_id"])
         for line in lines
-        if line.get("request_id") == wanted and "job_id" in line
+        if line.get("request_id") == identifier and "job_id" in line
     }
-    found = [line for line in lines if _concerns(line, wanted, ids - {wanted})]
-    if not found:
+    matching = [line for line in lines if _matches(line, identifier, related_ids - {identifier})]
+    if not matching:
         raise CommandFailed(
-            ExitCode.NOT_FOUND, f"no line of {len(lines)} names {wanted!r}; is the file complete?"
+            ExitCode.NOT_FOUND,
+            f"none of {len(lines)} lines has ID {identifier!r}; is the file complete?",
         )
-    found.sort(key=lambda line: str(line.get("timestamp", "")))
-    return Result(value=found, text="\n".join(map(_shown, found)))
+    matching.sort(key=lambda line: str(line.get("timestamp", "")))
+    return Result(value=matching, text="\n".join(map(_render_line, matching)))
 
 
 @command("check", "deploy", "SETTINGS")
-def check(call: Invocation) -> Result:
-    """Check a host's settings file as the daemon does; every fault is printed at once."""
-    what, path = call.arguments
+def check(invocation: Invocation) -> Result:
+    """Validate a host's settings file as the daemon does; all faults are printed."""
+    what, path = invocation.arguments
     if what != "deploy":
-        raise CommandFailed(ExitCode.USAGE, f"check knows 'deploy', not {what!r}")
+        raise CommandFailed(ExitCode.USAGE, f"check: the subject must be 'deploy', not {what!r}")
     try:
         settings = load_host_settings(path)
     except SettingsInvalid as error:
@@ -57,8 +58,8 @@
     return Result(value=value, text=text)
 
 
-def _lines(path: str) -> Iterator[dict[str, Any]]:
-    """Yield the log lines in a file; whatever stands before a line's JSON is passed over."""
+def _read_lines(path: str) -> Iterator[dict[str, Any]]:
+    """Yield the log lines in a file; text before the JSON of a line is ignored."""
     try:
         with Path(path).open(encoding="utf-8", errors="replace") as file:
             for raw in file:
@@ -75,12 +76,14 @@
         raise CommandFailed(ExitCode.USAGE, f"log file {path}: {error.strerror}") from error
 
 
-def _concerns(line: dict[str, Any], wanted: str, jobs: Iterable[str]) -> bool:
-    if any(line.get(name) == wanted for name in _ID_FIELDS):
+def _matches(line: dict[str, Any], identifier: str, jobs: Iterable[str]) -> bool:
+    if any(line.get(name) == identifier for name in _ID_FIELDS):
         return True
     return "request_id" not in line and line.get("job_id") in set(jobs)
 
 
-def _shown(line: dict[str, Any]) -> str:
-    values = " ".join(f"{name}={value}" for name, value in line.items() if name not in _SHOWN_FIRST)
+def _render_line(line: dict[str, Any]) -> str:
+    values = " ".join(
+        f"{name}={value}" for name, value in line.items() if name not in _LEADING_FIELDS
+    )
     return f"{line.get('timestamp', '')} {line.get('host', '')} {line['event']} {values}"
--- a/src/verbenawind/cli/main.py
+++ b/src/verbenawind/cli/main.py
@@ -1,4 +1,4 @@
-"""Parses the command line of ``verbenawind`` and runs one command."""
+"""Command-line parsing, help and command dispatch of ``verbenawind``."""
 
 import getpass
 import os
@@ -10,7 +10,7 @@
 import msgspec
 from absl import flags
 
-from verbenawind.cli import documents, logs, running
+from verbenawind.cli import documents, logs, system
 from verbenawind.cli.client import CommandFailed, OperatorClient
 from verbenawind.cli.commands import COMMANDS, Command, Invocation, Result
 from verbenawind.cli.exit_codes import DESCRIPTIONS, ExitCode
@@ -18,14 +18,14 @@
 
 __all__ = ["main", "run"]
 
-_COMMAND_MODULES = (documents, logs, running)
+_COMMAND_MODULES = (documents, logs, system)
 _DEFAULT_SERVER = "http://127.0.0.1:8080"
 _SERVER_VARIABLE = "VERBENAWIND_SERVER"
 _TOKEN_VARIABLE = "VERBENAWIND_TOKEN"
 
 
 def run() -> None:
-    """Run the program ``verbenawind``."""
+    """Run ``verbenawind`` with the arguments of the process and exit."""
     sys.exit(main(sys.argv))
 
 
@@ -34,25 +34,25 @@
     out, err = out or sys.stdout, err or sys.stderr
     values = _flag_values()
     try:
-        words = values(arguments)[1:]
+        positional = values(arguments)[1:]
     except flags.Error as error:
-        return _wrong_usage(str(error), err)
-    if values["help"].value or not words or words[0] == "help":
-        asked = [word for word in words if word != "help"][:1]
-        print(_help(asked[0] if asked else None, values), file=out)
-        return ExitCode.DONE if values["help"].value or words else ExitCode.USAGE
-    name, rest = words[0], words[1:]
+        return _usage_error(str(error), err)
+    if values["help"].value or not positional or positional[0] == "help":
+        topics = [word for word in positional if word != "help"][:1]
+        print(_help(topics[0] if topics else None, values), file=out)
+        return ExitCode.DONE if values["help"].value or positional else ExitCode.USAGE
+    name, rest = positional[0], positional[1:]
     if name not in COMMANDS.names():
-        return _wrong_usage(f"there is no command {name!r}", err)
-    wanted = COMMANDS.get(name)
-    if not wanted.takes(len(rest)):
-        usage = " ".join([name, *wanted.arguments])
-        return _wrong_usage(f"{name} takes {len(wanted.arguments)} arguments: {usage}", err)
-    return _execute(wanted, rest, values, out, err)
+        return _usage_error(f"unknown command {name!r}", err)
+    selected = COMMANDS.get(name)
+    if not selected.accepts(len(rest)):
+        usage = " ".join([name, *selected.arguments])
+        return _usage_error(f"{name} requires {len(selected.arguments)} arguments: {usage}", err)
+    return _execute(selected, rest, values, out, err)
 
 
 def _execute(
-    wanted: Command,
+    selected: Command,
     arguments: Sequence[str],
     values: flags.FlagValues,
     out: TextIO,
@@ -70,17 +70,17 @@
             digest=values["digest"].value,
         )
         try:
-            result = wanted.run(invocation)
+            result = selected.run(invocation)
         finally:
             client.close()
     except CommandFailed as error:
         _print_failure(error, as_json, out, err)
         return error.exit_code
-    print(_shown(result, as_json), file=out)
+    print(_rendered(result, as_json), file=out)
     return result.exit_code
 
 
-def _shown(result: Result, as_json: bool) -> str:
+def _rendered(result: Result, as_json: bool) -> str:
     return msgspec.json.encode(result.value).decode() if as_json else result.text
 
 
@@ -102,7 +102,7 @@
         raise CommandFailed(ExitCode.USAGE, f"token file {path}: {error.strerror}") from error
 
 
-def _wrong_usage(message: str, err: TextIO) -> int:
+def _usage_error(message: str, err: TextIO) -> int:
     print(f"verbenawind: {message}\ntry 'verbenawind --help'", file=err)
     return ExitCode.USAGE
 
@@ -113,40 +113,40 @@
     flags.DEFINE_string(
         "server",
         os.environ.get(_SERVER_VARIABLE, _DEFAULT_SERVER),
-        f"URL of any daemon (or the variable {_SERVER_VARIABLE}).",
+        f"URL of any daemon (or the environment variable {_SERVER_VARIABLE}).",
         flag_values=values,
     )
     flags.DEFINE_string(
         "token_file",
         "",
-        f"File that holds the operators' token (or the variable {_TOKEN_VARIABLE}).",
+        f"File with the operators' token (or the environment variable {_TOKEN_VARIABLE}).",
         flag_values=values,
     )
     flags.DEFINE_enum(
         "stage",
         Stage.TRIAL,
         [str(stage) for stage in Stage],
-        "Stage to work on.",
+        "Stage that the command applies to.",
         flag_values=values,
     )
     flags.DEFINE_string(
-        "author", _user(), "Who makes the change; kept with the revision.", flag_values=values
+        "author", _user(), "Author of the change; stored with the revision.", flag_values=values
     )
     flags.DEFINE_integer(
         "expect_revision",
         None,
-        "Change nothing unless this revision is in force (0: none yet).",
+        "Fail unless this revision is in force (0: none yet).",
         lower_bound=0,
         flag_values=values,
     )
     flags.DEFINE_string(
-        "digest", "", "Promote nothing but the document with this digest.", flag_values=values
+        "digest", "", "Fail unless the trial document has this digest.", flag_values=values
     )
     flags.DEFINE_bool("json", False, "Print one JSON value.", flag_values=values)
     flags.DEFINE_bool(
         "help",
         False,
-        "Explain the program, or the command that is named.",
+        "Show help on the program or the given command.",
         short_name="h",
         flag_values=values,
     )
@@ -163,31 +163,31 @@
 def _help(name: str | None, values: flags.FlagValues) -> str:
     if name in COMMANDS.names():
         return _command_help(str(name), COMMANDS.get(str(name)), values)
-    lines = ["Steers a verbenawind service through any of its daemons.", ""]
+    lines = ["Operates a verbenawind service through any of its daemons.", ""]
     lines += ["usage: verbenawind COMMAND [ARGUMENTS] [FLAGS]", "", "commands:"]
     for known in COMMANDS.names():
-        wanted = COMMANDS.get(known)
-        usage = " ".join([known, *wanted.arguments])
-        lines.append(f"  {usage:34} {wanted.help.splitlines()[0]}")
+        selected = COMMANDS.get(known)
+        usage = " ".join([known, *selected.arguments])
+        lines.append(f"  {usage:34} {selected.help.splitlines()[0]}")
     lines += ["", "flags:", *_flag_lines(values, [flag for flag in values if len(flag) > 1])]
     lines += ["", "exit codes:"]
     lines += [f"  {int(code)}  {text}" for code, text in DESCRIPTIONS.items()]
     lines += [
         "",
-        "a first change:",
+        "example:",
         "  verbenawind validate siam.jsonc",
-        "  verbenawind apply siam.jsonc                  # into trial",
+        "  verbenawind apply siam.jsonc                  # to trial",
         "  verbenawind diff siam.jsonc --stage=production",
-        "  verbenawind promote siam-fold                 # the same document, into production",
+        "  verbenawind promote siam-fold                 # the same document, to production",
     ]
     return "\n".join(lines)
 
 
-def _command_help(name: str, wanted: Command, values: flags.FlagValues) -> str:
-    usage = " ".join(["usage: verbenawind", name, *wanted.arguments, "[FLAGS]"])
-    shown = (*wanted.flags, "server", "token_file", "json")
-    text = "\n".join(line.strip() for line in wanted.help.splitlines())
-    return "\n".join([usage, "", text, "", "flags:", *_flag_lines(values, shown)])
+def _command_help(name: str, selected: Command, values: flags.FlagValues) -> str:
+    usage = " ".join(["usage: verbenawind", name, *selected.arguments, "[FLAGS]"])
+    flag_names = (*selected.flags, "server", "token_file", "json")
+    text = "\n".join(line.strip() for line in selected.help.splitlines())
+    return "\n".join([usage, "", text, "", "flags:", *_flag_lines(values, flag_names)])
 
 
 def _flag_lines(values: flags.FlagValues, names: Sequence[str]) -> list[str]:
--- a/src/verbenawind/cli/system.py
+++ b/src/verbenawind/cli/system.py
@@ -1,22 +1,22 @@
-"""Commands on the running system."""
+"""Commands for the running system."""
 
 from typing import Any
 
 from verbenawind.cli.commands import Invocation, Result, command
-from verbenawind.cli.tables import aligned
+from verbenawind.cli.tables import format_table
 
 __all__: list[str] = []
 
-_LINE_FIELDS = ("timestamp", "event", "request_id", "daemon_id", "level")
+_OMITTED_FIELDS = ("timestamp", "event", "request_id", "daemon_id", "level")
 
 
 @command("status")
-def status(call: Invocation) -> Result:
-    """Tell which daemon has which revision since when, and what the backend servers do."""
-    answer = call.client.get("/status")
-    ready = "ready" if answer["ready"] else "not ready"
-    head = f"daemon {answer['daemon_id']} in zone {answer['zone']}: {ready}"
-    held = [
+def status(invocation: Invocation) -> Result:
+    """Show the revisions held by each daemon and the state of the backend servers."""
+    response = invocation.client.get("/status")
+    ready = "ready" if response["ready"] else "not ready"
+    header = f"daemon {response['daemon_id']} in zone {response['zone']}: {ready}"
+    holder_rows = [
         (
             f"{item['environment']}/{item['stage']}",
             holder["daemon_id"],
@@ -24,58 +24,58 @@
             str(holder.get("since") or "-"),
             "" if holder.get("revision") == item["revision"] else "behind",
         )
-        for item in answer["environments"]
+        for item in response["environments"]
         for holder in item["held_by"]
     ]
-    servers = [
+    server_rows = [
         (
             server["server_id"],
             server["kind"],
             server["group"],
             server["zone"],
-            _state(server),
-            _versions(server),
+            _server_state(server),
+            _model_versions(server),
         )
-        for server in answer["servers"]
+        for server in response["servers"]
     ]
-    parts = [
-        head,
-        aligned(("ENVIRONMENT", "DAEMON", "REVISION", "SINCE", ""), held),
-        aligned(("SERVER", "KIND", "GROUP", "ZONE", "STATE", "VERSIONS"), servers),
+    sections = [
+        header,
+        format_table(("ENVIRONMENT", "DAEMON", "REVISION", "SINCE", ""), holder_rows),
+        format_table(("SERVER", "KIND", "GROUP", "ZONE", "STATE", "VERSIONS"), server_rows),
     ]
-    if answer["unreachable_daemons"]:
-        parts.append(f"no answer from {', '.join(answer['unreachable_daemons'])}")
-    return Result(value=answer, text="\n\n".join(parts))
+    if response["unreachable_daemons"]:
+        sections.append(f"no response from {', '.join(response['unreachable_daemons'])}")
+    return Result(value=response, text="\n\n".join(sections))
 
 
 @command("drain", "SERVER_ID")
-def drain(call: Invocation) -> Result:
-    """Send no new work to a backend server, until it comes back as a new incarnation."""
-    answer = call.client.change("POST", f"/servers/{call.arguments[0]}/drain")
-    text = f"{answer['server_id']} (incarnation {answer['incarnation']}) gets no new work"
-    return Result(value=answer, text=text)
+def drain(invocation: Invocation) -> Result:
+    """Stop new work to a backend server until it restarts as a new incarnation."""
+    response = invocation.client.change("POST", f"/servers/{invocation.arguments[0]}/drain")
+    text = f"{response['server_id']} (incarnation {response['incarnation']}) receives no new work"
+    return Result(value=response, text=text)
 
 
 @command("explain", "REQUEST_ID")
-def explain(call: Invocation) -> Result:
-    """Show the decisions on one request, whichever daemon served it."""
-    answer = call.client.get(f"/requests/{call.arguments[0]}/explain")
-    lines = [f"request {answer['request_id']}"]
-    for daemon_id, kept in answer["daemons"].items():
+def explain(invocation: Invocation) -> Result:
+    """Show the decisions on a request, from whichever daemon served it."""
+    response = invocation.client.get(f"/requests/{invocation.arguments[0]}/explain")
+    lines = [f"request {response['request_id']}"]
+    for daemon_id, records in response["daemons"].items():
         lines.append(f"daemon {daemon_id}")
-        lines += [_decision_line(line) for line in kept]
-    if answer["unreachable_daemons"]:
-        lines.append(f"no answer from {', '.join(answer['unreachable_daemons'])}")
-    return Result(value=answer, text="\n".join(lines))
+        lines += [_decision_line(line) for line in records]
+    if response["unreachable_daemons"]:
+        lines.append(f"no response from {', '.join(response['unreachable_daemons'])}")
+    return Result(value=response, text="\n".join(lines))
 
 
-def _state(server: dict[str, Any]) -> str:
+def _server_state(server: dict[str, Any]) -> str:
     if server["leaving"]:
         return "leaving"
     return "suspected" if server["suspected"] else "live"
 
 
-def _versions(server: dict[str, Any]) -> str:
+def _model_versions(server: dict[str, Any]) -> str:
     return ", ".join(
         f"{model['model']}={'?' if model['active_version'] is None else model['active_version']}"
         for model in server["models"]
@@ -84,6 +84,6 @@
 
 def _decision_line(line: dict[str, Any]) -> str:
     values = " ".join(
-        f"{name}={value!r}" for name, value in line.items() if name not in _LINE_FIELDS
+        f"{name}={value!r}" for name, value in line.items() if name not in _OMITTED_FIELDS
     )
     return f"  {line.get('timestamp', '')} {line.get('event', '')} {values}"
