--- a/tests/api/test_completion_answers.py
+++ b/tests/api/test_completion_answers.py
@@ -1,4 +1,4 @@
-"""Tests of turning a generation's events into a streamed answer."""
+"""Tests of streamed completion responses."""
 
 import asyncio
 import gc
@@ -10,7 +10,7 @@
 
 
 async def generation() -> AsyncGenerator[EngineEvent, None]:
-    """Yield one token and the end, and take a moment to close."""
+    """Yield one token and the end; closing takes 10 ms."""
     try:
         yield TokensGenerated(attempt_id="a", start=0, token_ids=(1,), text="t", version=0)
         yield GenerationEnded(attempt_id="a", token_count=1, finish_reason="stop")
@@ -19,8 +19,12 @@
 
 
 class TestStreamAnswer:
-    def test_generators_are_closed_in_turn(self) -> None:
-        """The end of a stream closes the generation once, and no task is left to fail."""
+    def test_generators_are_closed_in_order(self) -> None:
+        """The end of a stream closes the generation without errors in the event loop.
+
+        A generator left to the garbage collector is closed in a task of its own, which fails if
+        the generator is still running.
+        """
         faults: list[dict[str, Any]] = []
 
         async def stream() -> list[bytes]:
--- a/tests/api/test_errors.py
+++ b/tests/api/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP form of errors."""
+"""Tests of error responses."""
 
 import inspect
 
@@ -19,23 +19,23 @@
 
 class TestErrors:
     @pytest.mark.parametrize("kind", CLASSES, ids=lambda kind: kind.__name__)
-    def test_every_error_has_its_own_status(self, kind: type[VerbenawindError]) -> None:
-        """No error that a caller can get is answered 500, which is for faults of the program."""
+    def test_no_caller_error_has_status_500(self, kind: type[VerbenawindError]) -> None:
+        """Errors that callers can get have a status other than 500, which is for bugs."""
         error = kind.__new__(kind)
         assert http_status(error) != 500
 
     def test_codes_are_unique(self) -> None:
-        """Each class has a code of its own, so that callers can tell them apart."""
+        """Each error class has its own code, so that callers can distinguish them."""
         codes = [kind.code for kind in CLASSES]
         assert len(set(codes)) == len(codes)
 
-    def test_cursor_conflict_names_the_cursor_to_poll_with(self) -> None:
-        """A trainer that lost its cursor is told where to go on."""
+    def test_cursor_conflict_has_the_acknowledged_cursor(self) -> None:
+        """A trainer that lost its cursor gets the cursor to continue from."""
         error = errors.CursorConflict("cursor 3 is void", acknowledged_cursor=2)
         assert error_body(error).error.acknowledged_cursor == 2
 
     def test_body(self) -> None:
-        """The body states code, outcome and when to come back."""
+        """The body has code, outcome and retry delay."""
         error = errors.Overloaded("full", outcome=Outcome.NOT_RUN, retry_after_s=1.5)
         body = msgspec.to_builtins(error_body(error))["error"]
         assert body == {
--- a/tests/api/test_explain.py
+++ b/tests/api/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the decision record and of explain, also when another daemon served the request."""
+"""Tests of the decision record and of explain, status and drain across daemons."""
 
 import asyncio
 from collections.abc import Coroutine, Iterator
@@ -35,7 +35,7 @@
 
 class TestDecisionRecord:
     def test_oldest_request_is_dropped_first(self) -> None:
-        """The record is bounded in requests and in lines of each."""
+        """The record is bounded in the number of requests and of lines per request."""
         record = DecisionRecord(2)
         for request_id in ("a", "b", "c"):
             for number in range(100):
@@ -43,20 +43,20 @@
         assert record.lines("a") == []
         assert [line["number"] for line in record.lines("c")] == list(range(64))
 
-    def test_lines_without_a_request_pass(self) -> None:
-        """A line that names no request is only passed on."""
+    def test_lines_without_a_request_are_not_recorded(self) -> None:
+        """A line without a request ID is passed on unchanged."""
         assert keep_decisions(None, "info", {"event": "x"}) == {"event": "x"}
 
 
 class TestExplain:
     def test_decisions_of_another_daemon_are_found(self) -> None:
-        """Asked at one daemon, explain shows what the other one decided, at any log level."""
+        """Explain at one daemon shows the decisions of the other one at any log level."""
 
         async def scenario() -> None:
             world = World()
             world.add_engine("engine-0", "tuning", {"tuner": 0})
-            first = await started(world, "daemon-a", ())
-            second = await started(world, "daemon-b", (first.core.peers.address,))
+            first = await start_daemon(world, "daemon-a", ())
+            second = await start_daemon(world, "daemon-b", (first.core.peers.address,))
             await second.core.configuration.accept(DOCUMENT, Stage.PRODUCTION)
             for _ in range(POLLS):
                 if first.core.peers.peers():
@@ -69,10 +69,10 @@
                 assert (await client.post(url, json=body, headers=headers)).status_code == 200
                 operator = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
                 base = f"http://{first.address}/operators/v1/requests"
-                answer = await client.get(f"{base}/shift-7/explain", headers=operator)
+                response = await client.get(f"{base}/shift-7/explain", headers=operator)
                 missing = await client.get(f"{base}/nothing/explain", headers=operator)
-            lines = answer.json()["daemons"]["daemon-b"]
-            assert "daemon-a" not in answer.json()["daemons"]
+            lines = response.json()["daemons"]["daemon-b"]
+            assert "daemon-a" not in response.json()["daemons"]
             chosen = [line for line in lines if line.get("server_id") == "engine-0"]
             assert chosen
             assert any("reason" in line for line in chosen)
@@ -86,20 +86,20 @@
 
 class TestStatusAndDrain:
     @pytest.mark.parametrize("daemons_listed", [32, 0])
-    def test_both_daemons_hold_the_revision_and_heed_the_drain(
+    def test_status_lists_both_holders_and_drain_reaches_both(
         self, daemons_listed: int, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Status at one daemon names both holders, also where they spread nothing of it.
+        """Status at one daemon lists both holders, also where gossip does not carry them.
 
-        A drain at one takes effect at the other.
+        A drain at one daemon takes effect at the other.
         """
         monkeypatch.setattr(revision_spreader, "_MAX_DAEMONS_LISTED", daemons_listed)
 
         async def scenario() -> None:
             world = World()
             world.add_engine("engine-0", "tuning", {"tuner": 0})
-            first = await started(world, "daemon-a", ())
-            second = await started(world, "daemon-b", (first.core.peers.address,))
+            first = await start_daemon(world, "daemon-a", ())
+            second = await start_daemon(world, "daemon-b", (first.core.peers.address,))
             await second.core.configuration.accept(DOCUMENT, Stage.PRODUCTION)
             base = f"http://{first.address}/operators/v1"
             headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
@@ -129,7 +129,7 @@
 
 
 def run_bounded(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario, bounded in time."""
+    """Run a scenario with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -138,8 +138,8 @@
     asyncio.run(bounded())
 
 
-async def started(world: World, daemon_id: str, seeds: tuple[str, ...]) -> Daemon:
-    """Start a daemon whose peer links are real websockets."""
+async def start_daemon(world: World, daemon_id: str, seeds: tuple[str, ...]) -> Daemon:
+    """Start a daemon with real websocket peer links."""
     outside = world.outside(Process(world.network, world.locations[0].zone))
     settings = DaemonSettings(
         daemon_id=daemon_id,
--- a/tests/api/test_http_server.py
+++ b/tests/api/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server's own limits."""
+"""Tests of the HTTP server's write timeout."""
 
 import asyncio
 import socket
@@ -13,8 +13,8 @@
 
 
 class TestSlowReader:
-    def test_reader_that_takes_nothing_is_cut_off(self) -> None:
-        """A caller that stops reading its stream loses it, and the generation is closed."""
+    def test_stalled_reader_is_disconnected(self) -> None:
+        """A caller that stops reading is disconnected, and its generation is closed."""
         closed = asyncio.Event()
 
         async def endless() -> Any:
--- a/tests/api/test_metrics.py
+++ b/tests/api/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics."""
+"""Tests of the metrics endpoint."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 
 
 class TestExposition:
-    def test_a_step_and_requests_show(self) -> None:
-        """Idle time, staleness, waits, refusals and requests by outcome can be read."""
+    def test_step_and_requests_are_counted(self) -> None:
+        """The metrics include idle time, staleness, queue waits, errors and request outcomes."""
 
         async def scenario(loopback: Loopback) -> str:
             await loopback.accept()
@@ -22,9 +22,9 @@
                 await client.post(f"{loopback.v1}/rollouts/steps", json=step)
                 delivered = 0
                 while delivered < 2:
-                    answer = (await client.post(f"{loopback.v1}/rollouts/poll", json=poll)).json()
-                    poll["cursor"] = answer["cursor"]
-                    delivered += sum(len(group["samples"]) for group in answer["groups"])
+                    response = (await client.post(f"{loopback.v1}/rollouts/poll", json=poll)).json()
+                    poll["cursor"] = response["cursor"]
+                    delivered += sum(len(group["samples"]) for group in response["groups"])
             async with loopback.client() as client:
                 body = {"model": "tuner", "prompt": "a", "max_tokens": 2}
                 await client.post(f"{loopback.v1}/completions", json=body)
--- a/tests/api/test_openai_client.py
+++ b/tests/api/test_openai_client.py
@@ -1,4 +1,4 @@
-"""Tests that the openai client works unchanged against a daemon."""
+"""Tests of the unmodified openai client against a daemon."""
 
 import asyncio
 from typing import Any
@@ -31,31 +31,31 @@
 
 
 def client_of(loopback: Loopback, token: str = APPLICATION_TOKEN) -> openai.AsyncOpenAI:
-    """Return an openai client that retries nothing, so that errors show."""
+    """Return an openai client without retries, so that errors are visible."""
     return openai.AsyncOpenAI(api_key=token, base_url=loopback.v1, max_retries=0, timeout=10.0)
 
 
 def expected_text(prompt: str, seed: int, max_tokens: int) -> str:
-    """Return the text that version 0 generates."""
+    """Return the text that weight version 0 generates."""
     length = min(max_tokens, natural_length(prompt, seed))
     return "".join(
         f"t{expected_token('tuner', 0, prompt, seed, index)} " for index in range(length)
     )
 
 
-class TestWholeAnswers:
+class TestCompleteResponses:
     def test_completion_and_chat(self) -> None:
-        """Both endpoints give the whole text, the usage and the finish reason."""
+        """Both endpoints return the complete text, usage and finish reason."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
             async with client_of(loopback) as client:
-                answer = await client.completions.create(
+                response = await client.completions.create(
                     model="tuner", prompt=PROMPT, seed=3, max_tokens=12
                 )
-                assert answer.choices[0].text.split() == expected_text(PROMPT, 3, 12).split()
-                assert answer.usage is not None
-                assert answer.usage.completion_tokens == len(answer.choices[0].text.split())
+                assert response.choices[0].text.split() == expected_text(PROMPT, 3, 12).split()
+                assert response.usage is not None
+                assert response.usage.completion_tokens == len(response.choices[0].text.split())
                 chat = await client.chat.completions.create(
                     model="tuner",
                     messages=[{"role": "user", "content": [{"type": "text", "text": PROMPT}]}],
@@ -69,7 +69,7 @@
         run_loopback(scenario, profile=FAST)
 
     def test_models(self) -> None:
-        """The models that the caller may use are listed and described."""
+        """The caller's models are listed and described."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -82,7 +82,7 @@
         run_loopback(scenario)
 
     def test_sync_client(self) -> None:
-        """The synchronous client streams too."""
+        """Streaming works with the synchronous client."""
 
         def ask(base_url: str) -> str:
             with openai.OpenAI(
@@ -103,7 +103,7 @@
 
 class TestStreams:
     def test_chat_stream_with_usage(self) -> None:
-        """The pieces make up the whole text; the last chunk gives the usage."""
+        """The chunks add up to the complete text; the last one has the usage."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -129,8 +129,8 @@
 
         run_loopback(scenario, profile=FAST)
 
-    def test_error_in_the_middle_is_raised(self) -> None:
-        """When no engine can end the answer the client raises; nothing looks whole."""
+    def test_error_in_mid_stream_is_raised(self) -> None:
+        """If no engine can finish the stream, the client raises and gets no finish reason."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -156,19 +156,19 @@
 
         run_loopback(scenario, profile=SLOW)
 
-    def test_stop_sequence_ends_the_answer(self) -> None:
+    def test_stop_sequence_ends_the_text(self) -> None:
         """The text ends before the stop sequence, streamed or not."""
-        whole = expected_text(PROMPT, long_seed(), 40)
-        stop = whole.split()[5]
+        full_text = expected_text(PROMPT, long_seed(), 40)
+        stop = full_text.split()[5]
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
             async with client_of(loopback) as client:
-                answer = await client.completions.create(
+                response = await client.completions.create(
                     model="tuner", prompt=PROMPT, seed=long_seed(), max_tokens=40, stop=stop
                 )
-                assert answer.choices[0].finish_reason == "stop"
-                assert answer.choices[0].text.split() == whole.split()[:5]
+                assert response.choices[0].finish_reason == "stop"
+                assert response.choices[0].text.split() == full_text.split()[:5]
                 stream = await client.completions.create(
                     model="tuner",
                     prompt=PROMPT,
@@ -178,35 +178,35 @@
                     stream=True,
                 )
                 text = "".join([chunk.choices[0].text async for chunk in stream])
-                assert text.split() == whole.split()[:5]
+                assert text.split() == full_text.split()[:5]
 
         run_loopback(scenario, profile=FAST)
 
 
 def long_seed() -> int:
-    """Return a seed whose generation is long."""
+    """Return a seed whose generation has more than 80 tokens."""
     return next(seed for seed in range(1000) if natural_length(PROMPT, seed) > 80)
 
 
-class TestRefusals:
+class TestRejections:
     def test_unsupported_values(self) -> None:
-        """What isn't supported is refused as bad request, and named; no engine hears of it."""
+        """Unsupported values are rejected with 400 by name and reach no engine."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
             async with loopback.client() as client:
-                for body, named in UNSUPPORTED:
-                    whole = {"model": "tuner", "prompt": "a"} | body
-                    answer = await client.post(f"{loopback.v1}/completions", json=whole)
-                    error = answer.json()["error"]
-                    assert (answer.status_code, error["outcome"]) == (400, "not_run"), body
-                    assert named in error["message"]
+                for body, expected_name in UNSUPPORTED:
+                    request_body = {"model": "tuner", "prompt": "a"} | body
+                    response = await client.post(f"{loopback.v1}/completions", json=request_body)
+                    error = response.json()["error"]
+                    assert (response.status_code, error["outcome"]) == (400, "not_run"), body
+                    assert expected_name in error["message"]
             assert not any(engine.started_request_ids for engine in loopback.engines)
 
         run_loopback(scenario)
 
-    def test_errors_are_the_clients_own(self) -> None:
-        """Each refusal reaches the client as the class it knows for it."""
+    def test_errors_map_to_client_exceptions(self) -> None:
+        """Each error raises the matching exception class of the client."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -235,7 +235,7 @@
         run_loopback(scenario)
 
 
-async def until_load(loopback: Loopback, wanted: int) -> None:
+async def wait_for_load(loopback: Loopback, wanted: int) -> None:
     """Wait until the engines run *wanted* generations; the test's timeout bounds it."""
     while True:
         reports = [await engine.status() for engine in loopback.engines]
@@ -246,8 +246,8 @@
 
 class TestDisconnect:
     @pytest.mark.parametrize("stream", [True, False])
-    def test_caller_that_goes_away_frees_the_engine(self, stream: bool) -> None:
-        """When the caller closes its connection its generation is cancelled on the engine."""
+    def test_disconnect_cancels_the_generation(self, stream: bool) -> None:
+        """When the caller disconnects, its generation is cancelled on the engine."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -262,14 +262,14 @@
             async def ask() -> None:
                 async with (
                     loopback.client() as client,
-                    client.stream("POST", f"{loopback.v1}/completions", json=body) as answer,
+                    client.stream("POST", f"{loopback.v1}/completions", json=body) as response,
                 ):
-                    async for _ in answer.aiter_bytes():
+                    async for _ in response.aiter_bytes():
                         pass
 
-            asking = asyncio.create_task(ask())
-            await until_load(loopback, 1)
-            asking.cancel()
-            await until_load(loopback, 0)
+            request_task = asyncio.create_task(ask())
+            await wait_for_load(loopback, 1)
+            request_task.cancel()
+            await wait_for_load(loopback, 0)
 
         run_loopback(scenario, profile=SLOW)
--- a/tests/api/test_operators.py
+++ b/tests/api/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' HTTP interface."""
+"""Tests of the operator API."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 class TestDocuments:
     def test_apply_diff_promote_history_and_rollback(self) -> None:
-        """A document goes from trial to production unchanged, and back as a new revision."""
+        """A document is promoted unchanged, and a rollback makes a new revision."""
 
         async def scenario(loopback: Loopback) -> None:
             base = f"{loopback.operators}/environments/siam-fold"
@@ -40,16 +40,16 @@
 
         run_loopback(scenario)
 
-    def test_losing_a_race_shows_the_difference(self) -> None:
-        """The operator whose expected revision is gone gets 409 and what differs."""
+    def test_revision_conflict_shows_the_difference(self) -> None:
+        """A change with an outdated expected revision gets 409 and the differences."""
 
         async def scenario(loopback: Loopback) -> None:
             url = f"{loopback.operators}/environments/siam-fold/trial"
             async with loopback.client(OPERATOR_TOKEN) as client:
                 await client.put(f"{url}?expect_revision=0", content=DOCUMENT_TEXT)
-                lost = await client.put(f"{url}?expect_revision=0", content=CHANGED_TEXT)
-                error = lost.json()["error"]
-                assert (lost.status_code, error["outcome"]) == (409, "not_run")
+                conflict = await client.put(f"{url}?expect_revision=0", content=CHANGED_TEXT)
+                error = conflict.json()["error"]
+                assert (conflict.status_code, error["outcome"]) == (409, "not_run")
                 assert error["current_revision"] == 1
                 assert error["difference"] == ["~ $.models[tuner].staleness.max_versions: 1 -> 3"]
                 shown = await client.get(url)
@@ -62,7 +62,7 @@
         run_loopback(scenario)
 
     def test_faults_are_listed_and_nothing_changes(self) -> None:
-        """A document with two faults gets both, and no revision."""
+        """A document with two faults is rejected with both; no revision is created."""
 
         async def scenario(loopback: Loopback) -> None:
             url = f"{loopback.operators}/environments/siam-fold/trial"
@@ -70,28 +70,28 @@
                 '"caller": "plant"', '"caller": "nobody"'
             )
             async with loopback.client(OPERATOR_TOKEN) as client:
-                answer = await client.put(url, content=faulty)
-                assert answer.status_code == 400
-                assert len(answer.json()["error"]["faults"]) >= 2
+                response = await client.put(url, content=faulty)
+                assert response.status_code == 400
+                assert len(response.json()["error"]["faults"]) >= 2
                 assert (await client.get(url)).status_code == 404
 
         run_loopback(scenario)
 
     def test_unreachable_store_is_not_run(self) -> None:
-        """A change that never reached the store is said not to have run."""
+        """A change that never reached the store has the outcome not_run."""
 
         async def scenario(loopback: Loopback) -> None:
             url = f"{loopback.operators}/environments/siam-fold/trial"
             loopback.world.table.faults.down = True
             async with loopback.client(OPERATOR_TOKEN) as client:
-                answer = await client.put(url, content=DOCUMENT_TEXT)
-            assert answer.status_code == 503
-            assert answer.json()["error"]["outcome"] == "not_run"
+                response = await client.put(url, content=DOCUMENT_TEXT)
+            assert response.status_code == 503
+            assert response.json()["error"]["outcome"] == "not_run"
 
         run_loopback(scenario)
 
-    def test_lost_answer_may_have_run(self) -> None:
-        """A change whose answer is lost for good, and the look-up too, may have run."""
+    def test_lost_response_may_have_run(self) -> None:
+        """A change has the outcome may_have_run if commit and lookup get no response."""
 
         async def scenario(loopback: Loopback) -> None:
             table = loopback.world.table
@@ -105,15 +105,15 @@
             table.commit = commit_then_lose_answers  # type: ignore[method-assign]
             url = f"{loopback.operators}/environments/siam-fold/trial"
             async with loopback.client(OPERATOR_TOKEN) as client:
-                answer = await client.put(url, content=DOCUMENT_TEXT)
-            assert answer.status_code == 503
-            assert answer.json()["error"]["outcome"] == "may_have_run"
+                response = await client.put(url, content=DOCUMENT_TEXT)
+            assert response.status_code == 503
+            assert response.json()["error"]["outcome"] == "may_have_run"
             assert "config/head/siam-fold/trial" in table.rows
 
         run_loopback(scenario)
 
     def test_other_tokens_are_refused(self) -> None:
-        """A caller's token opens nothing of the operators' interface."""
+        """A caller's token is rejected by the operator API."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -124,15 +124,15 @@
                     ("POST", "servers/engine-0/drain"),
                     ("GET", "requests/x/explain"),
                 ):
-                    answer = await client.request(method, f"{loopback.operators}/{path}")
-                    assert answer.status_code == 401
+                    response = await client.request(method, f"{loopback.operators}/{path}")
+                    assert response.status_code == 401
 
         run_loopback(scenario)
 
 
 class TestRunningSystem:
     def test_status_shows_holders_and_servers(self) -> None:
-        """Status names this daemon as holder of the revision since a time, and the engines."""
+        """Status lists the engines and this daemon as holder of the revision, with a time."""
 
         async def scenario(loopback: Loopback) -> dict[str, Any]:
             await loopback.accept()
@@ -147,7 +147,7 @@
         assert {server["server_id"] for server in status["servers"]} >= {"engine-0", "engine-1"}
 
     def test_drained_server_gets_no_new_work(self) -> None:
-        """After a drain every request goes to the other engine, and peers are told."""
+        """After a drain all requests go to the other engine, and the drain is gossiped."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -161,8 +161,8 @@
             async with loopback.client() as client:
                 for number in range(4):
                     body = {"model": "tuner", "prompt": f"p{number}", "max_tokens": 2}
-                    answer = await client.post(f"{loopback.v1}/completions", json=body)
-                    assert answer.status_code == 200
+                    response = await client.post(f"{loopback.v1}/completions", json=body)
+                    assert response.status_code == 200
             assert loopback.engines[0].started_request_ids == []
             assert len(loopback.engines[1].started_request_ids) == 4
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line against a daemon on loopback."""
+"""Tests of the command-line client against a daemon on loopback."""
 
 import asyncio
 import io
@@ -23,20 +23,20 @@
 
 
 def call(*words: str) -> tuple[int, str, str]:
-    """Return exit code, standard output and standard error of one command line."""
+    """Run a command line and return its exit code, standard output and standard error."""
     out, err = io.StringIO(), io.StringIO()
     code = main(["verbenawind", *words], out, err)
     return code, out.getvalue(), err.getvalue()
 
 
 async def call_at(loopback: Loopback, *words: str) -> tuple[int, str, str]:
-    """Run a command against the daemon from a thread, as the daemon shares the loop."""
+    """Run a command in a thread, because the daemon runs in this event loop."""
     return await asyncio.to_thread(call, *words, f"--server={loopback.url}")
 
 
 class TestCommands:
-    def test_a_change_from_validation_to_rollback(self, tmp_path: Path) -> None:
-        """Each documents' command does its work and exits with its documented code."""
+    def test_document_commands_from_validate_to_rollback(self, tmp_path: Path) -> None:
+        """Each document command works and exits with its documented code."""
         path, changed = tmp_path / "a.jsonc", tmp_path / "b.jsonc"
         path.write_text(DOCUMENT_TEXT)
         changed.write_text(CHANGED_TEXT)
@@ -64,7 +64,7 @@
         run_loopback(scenario)
 
     def test_running_system(self) -> None:
-        """Status, drain and explain work on a running daemon."""
+        """Status, drain and explain work with a running daemon."""
 
         async def scenario(loopback: Loopback) -> None:
             await loopback.accept()
@@ -80,7 +80,7 @@
         run_loopback(scenario)
 
     def test_faults_of_a_document(self, tmp_path: Path) -> None:
-        """Every fault is printed, on standard error or as JSON."""
+        """All faults are printed, on standard error or as JSON."""
         path = tmp_path / "faulty.jsonc"
         path.write_text('{"environment": "No", "unknown": 1}')
         code, _, err = call("validate", str(path))
@@ -97,17 +97,17 @@
         [["nothing"], ["apply"], ["apply", "/no/such/file"], ["status", "--no_such_flag"], []],
     )
     def test_wrong_usage(self, words: list[str]) -> None:
-        """A wrong command line exits with its own code."""
+        """An invalid command line exits with the usage code."""
         assert call(*words)[0] == ExitCode.USAGE
 
     def test_no_daemon(self) -> None:
-        """Where nothing listens nothing was sent, and it is said so."""
+        """Without a listening daemon the command fails as unreachable, not as unknown outcome."""
         code, _, err = call("promote", "siam-fold", "--digest=x", "--server=http://127.0.0.1:1")
         assert code == ExitCode.UNREACHABLE
         assert "no daemon answers" in err
 
     def test_wrong_token(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A wrong token has its own exit code."""
+        """An invalid token exits with the unauthorized code."""
         monkeypatch.setenv("VERBENAWIND_TOKEN", "wrong")
 
         async def scenario(loopback: Loopback) -> None:
@@ -126,8 +126,8 @@
             ((500, {"code": "internal", "outcome": "may_have_run"}), ExitCode.OUTCOME_UNKNOWN),
         ],
     )
-    def test_change_without_a_clear_answer(self, answer: Any, expected: int) -> None:
-        """A change is called undone only where that is certain."""
+    def test_change_with_an_ambiguous_response(self, answer: Any, expected: int) -> None:
+        """A change is reported as not made only if that is certain."""
 
         def handler(_: httpx.Request) -> httpx.Response:
             if isinstance(answer, Exception):
@@ -143,7 +143,7 @@
 
 class TestHelp:
     def test_help_names_every_command_and_exit_code(self) -> None:
-        """The help lists what there is, and each command explains itself."""
+        """The help lists all commands and exit codes, and each command has its own help."""
         code, out, _ = call("--help")
         assert code == ExitCode.DONE
         for name in COMMANDS.names():
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that read the daemons' files."""
+"""Tests of the commands that read log and settings files."""
 
 import io
 import json
@@ -9,20 +9,20 @@
 
 
 def call(*words: str) -> tuple[int, str, str]:
-    """Return exit code, standard output and standard error of one command line."""
+    """Run a command line and return its exit code, standard output and standard error."""
     out, err = io.StringIO(), io.StringIO()
     return main(["verbenawind", *words], out, err), out.getvalue(), err.getvalue()
 
 
 def write(path: Path, *lines: dict[str, object]) -> str:
-    """Write log lines, each after something that a collector put before it."""
+    """Write log lines, each with a prefix as log collectors add it, and a line of noise."""
     path.write_text("\n".join(f"   3.25 host {json.dumps(line)}" for line in lines) + "\nnoise\n")
     return str(path)
 
 
 class TestTrace:
-    def test_item_s_story_from_two_hosts(self, tmp_path: Path) -> None:
-        """Lines of an item and of its job come in order of time, others are left out."""
+    def test_item_lines_of_two_hosts_are_merged(self, tmp_path: Path) -> None:
+        """Lines of an item and its job are sorted by time; other lines are omitted."""
         first = write(
             tmp_path / "a",
             {"event": "job_accepted", "timestamp": "10:00:01", "job_id": "j", "host": "a"},
@@ -46,7 +46,7 @@
         assert len(json.loads(out)) == 4
 
     def test_unknown_id_and_file(self, tmp_path: Path) -> None:
-        """An id that no line names, and a file that is not there, have their own exit codes."""
+        """An ID without lines exits as not found, a missing file or argument as wrong usage."""
         path = write(tmp_path / "a", {"event": "started", "timestamp": "1"})
         assert call("trace", "nobody", path)[0] == ExitCode.NOT_FOUND
         assert call("trace", "nobody", str(tmp_path / "none"))[0] == ExitCode.USAGE
@@ -55,7 +55,7 @@
 
 class TestCheck:
     def test_settings_of_a_host(self, tmp_path: Path) -> None:
-        """A good file is shown as the daemon reads it, a bad one with every fault."""
+        """A valid file is printed as the daemon parses it, an invalid one with all faults."""
         path = tmp_path / "boot.toml"
         path.write_text(SETTINGS)
         code, out, _ = call("check", "deploy", str(path))
--- a/tests/document/test_loading.py
+++ b/tests/document/test_loading.py
@@ -1,4 +1,4 @@
-"""Tests of reading environment documents."""
+"""Tests of parsing environment documents."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 class TestParseDocument:
     def test_every_fault_is_reported(self) -> None:
-        """Each of five faults is named with its path."""
+        """Each of five faults is reported with its path."""
         with pytest.raises(DocumentInvalid) as caught:
             parse_document(FIVE_FAULTS)
         paths = sorted(fault.split(":")[0] for fault in caught.value.faults)
@@ -31,8 +31,8 @@
             "$.unknown",
         ]
 
-    def test_digest_ignores_comments_and_spelled_out_defaults(self) -> None:
-        """Two spellings of the same document have one digest."""
+    def test_digest_ignores_comments_and_explicit_defaults(self) -> None:
+        """Two notations of the same document have the same digest."""
         short = parse_document('{"environment": "a"} // short')
         long = parse_document('{"environment": "a", "staleness_weight": 1.0}')
         assert document_digest(short) == document_digest(long)
--- a/tests/document/test_references.py
+++ b/tests/document/test_references.py
@@ -1,4 +1,4 @@
-"""Tests of what the parts of a document say of each other, and of its form."""
+"""Tests of references between the parts of a document, and of malformed input."""
 
 import pytest
 
@@ -18,8 +18,8 @@
 
 
 class TestReferences:
-    def test_every_contradiction_is_named(self) -> None:
-        """Each wrong reference is reported with its path."""
+    def test_all_reference_faults_are_reported(self) -> None:
+        """Each invalid reference is reported with its path."""
         found = faults(f"""{{
           "environment": "a",
           "pools": [{{"name": "p"}}, {{"name": "unused"}}],
@@ -60,7 +60,7 @@
         }
 
     def test_unknown_adapters(self) -> None:
-        """An adapter that nothing is registered under is named with those that are known."""
+        """An unknown adapter is reported together with the registered names."""
         found = faults("""{
           "environment": "a",
           "pools": [{"name": "p", "engine": "carrier-pigeon"}],
@@ -72,7 +72,7 @@
         assert "openai-http" in found[0]
 
 
-class TestForm:
+class TestMalformedInput:
     @pytest.mark.parametrize(
         "text",
         [
@@ -85,6 +85,6 @@
             "",
         ],
     )
-    def test_odd_input_is_a_fault(self, text: str) -> None:
-        """NaN, doubled fields, lower-case methods and deep nesting are faults, not surprises."""
+    def test_malformed_input_is_reported(self, text: str) -> None:
+        """NaN, duplicate fields, lower-case methods and deep nesting raise DocumentInvalid."""
         assert faults(text)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Runs a daemon's real HTTP interface on loopback over the stand-ins of a world."""
+"""Runs a daemon with its real HTTP interface on loopback, with stand-ins for the rest."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 TEST_TIMEOUT_S = 20.0
 DOCUMENT_TEXT = """
 {
-  "environment": "siam-fold",  // the loopback tests' environment
+  "environment": "siam-fold",  // environment of the loopback tests
   "pools": [{"name": "tuning", "checks_fencing": true}],
   "models": [{"name": "tuner", "pool": "tuning", "staleness": {"max_versions": 1}}],
   "callers": [
@@ -67,20 +67,20 @@
 
     @property
     def v1(self) -> str:
-        """The URL of the callers' interface."""
+        """The base URL of the caller API."""
         return f"{self.url}/environments/siam-fold/production/v1"
 
     @property
     def operators(self) -> str:
-        """The URL of the operators' interface."""
+        """The base URL of the operator API."""
         return f"{self.url}/operators/v1"
 
     async def accept(self, document: EnvironmentDocument = DOCUMENT) -> None:
-        """Bring a document into production."""
+        """Accept a document as the next production revision."""
         await self.daemon.core.configuration.accept(document, Stage.PRODUCTION)
 
     def client(self, token: str = APPLICATION_TOKEN) -> httpx.AsyncClient:
-        """Return an HTTP client that bears a token."""
+        """Return an HTTP client that sends a bearer token."""
         headers = {"authorization": f"Bearer {token}"}
         return httpx.AsyncClient(headers=headers, timeout=10.0, trust_env=False)
 
@@ -91,9 +91,9 @@
     limits: LimitSettings | None = None,
     profile: EngineProfile | None = None,
 ) -> T:
-    """Run *scenario* against a started daemon, bounded in time."""
+    """Run *scenario* against a running daemon, with a timeout."""
 
-    async def whole() -> T:
+    async def run_and_stop() -> T:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             loopback = Loopback(limits or LimitSettings(), profile)
             await loopback.daemon.start()
@@ -104,4 +104,4 @@
                 for engine in loopback.engines:
                     await engine.stop()
 
-    return asyncio.run(whole())
+    return asyncio.run(run_and_stop())
