--- a/src/verbenawind/api/fleet.py
+++ b/src/verbenawind/api/fleet.py
@@ -60,24 +60,24 @@
     """Return the decision log lines of a request from this daemon and its peers."""
     services = operator_services(request)
     peers = services.peers.peers()[:_MAX_PEERS_ASKED]
-    answers = await asyncio.gather(
+    peer_lines = await asyncio.gather(
         *(_query_peer(services, peer.peer_id, request_id) for peer in peers)
     )
     lines = {services.settings.daemon_id: list(services.decisions.lines(request_id))}
     unreachable = []
-    for peer, answer in zip(peers, answers, strict=True):
-        if answer is None:
+    for peer, response in zip(peers, peer_lines, strict=True):
+        if response is None:
             unreachable.append(peer.peer_id)
         else:
-            lines[peer.peer_id] = answer
+            lines[peer.peer_id] = response
     records = {
         daemon_id: lines_of_daemon
         for daemon_id, lines_of_daemon in lines.items()
         if lines_of_daemon
     }
     if not records:
-        asked = f"{len(lines)} daemons responded, {len(unreachable)} did not"
-        raise UnknownResource(f"no decisions on request {request_id!r} found ({asked})")
+        response_counts = f"{len(lines)} daemons responded, {len(unreachable)} did not"
+        raise UnknownResource(f"no decisions on request {request_id!r} found ({response_counts})")
     return json_response(
         {"request_id": request_id, "daemons": records, "unreachable_daemons": unreachable}
     )
@@ -95,10 +95,10 @@
     services: ApiServices, peer_id: str, request_id: str
 ) -> list[dict[str, Any]] | None:
     try:
-        answer = await services.peers.call(
+        response = await services.peers.call(
             peer_id, EXPLAIN_CALL, request_id.encode(), _EXPLAIN_TIMEOUT_S
         )
-        return msgspec.json.decode(answer, type=list[dict[str, Any]])
+        return msgspec.json.decode(response, type=list[dict[str, Any]])
     except (PeerUnreachable, msgspec.DecodeError):
         return None
 
--- a/src/verbenawind/api/holders.py
+++ b/src/verbenawind/api/holders.py
@@ -52,15 +52,15 @@
         held.setdefault(daemon_id, []).append(msgspec.json.decode(item.body, type=RevisionHeld))
     unlisted = [peer.peer_id for peer in services.peers.peers() if peer.peer_id not in held]
     permits = asyncio.Semaphore(_MAX_PARALLEL_CALLS)
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(_query_peer(services, peer_id, permits) for peer_id in unlisted)
     )
     unreachable = []
-    for peer_id, answer in zip(unlisted, answers, strict=True):
-        if answer is None:
+    for peer_id, response in zip(unlisted, responses, strict=True):
+        if response is None:
             unreachable.append(peer_id)
         else:
-            held[peer_id] = answer
+            held[peer_id] = response
     held[services.settings.daemon_id] = list(services.configuration.held())
     return Holders(held, unreachable)
 
@@ -70,7 +70,7 @@
 ) -> list[RevisionHeld] | None:
     async with permits:
         try:
-            answer = await services.peers.call(peer_id, HELD_CALL, b"", _TIMEOUT_S)
-            return msgspec.json.decode(answer, type=list[RevisionHeld])
+            response = await services.peers.call(peer_id, HELD_CALL, b"", _TIMEOUT_S)
+            return msgspec.json.decode(response, type=list[RevisionHeld])
         except (PeerUnreachable, msgspec.DecodeError):
             return None
--- a/src/verbenawind/api/operators.py
+++ b/src/verbenawind/api/operators.py
@@ -107,10 +107,10 @@
     services = operator_services(request)
     await services.configuration.refresh()
     trial = _current_revision(services, environment, Stage.TRIAL)
-    wanted = request.query_params.get("digest", trial.digest)
-    if wanted != trial.digest:
+    expected_digest = request.query_params.get("digest", trial.digest)
+    if expected_digest != trial.digest:
         raise RevisionConflict(
-            f"the trial of {environment!r} has digest {trial.digest}, not {wanted}",
+            f"the trial of {environment!r} has digest {trial.digest}, not {expected_digest}",
             current_revision=trial.revision,
         )
     production = services.configuration.current(environment, Stage.PRODUCTION)
@@ -170,10 +170,10 @@
 
 
 def _current_revision(services: ApiServices, environment: str, stage: Stage) -> EnvironmentRevision:
-    found = services.configuration.current(environment, stage)
-    if found is None:
+    active = services.configuration.current(environment, stage)
+    if active is None:
         raise UnknownEnvironment(f"environment {environment!r} has no {stage} revision in force")
-    return found
+    return active
 
 
 def _revision_summary(item: EnvironmentRevision) -> dict[str, Any]:
--- a/src/verbenawind/cli/client.py
+++ b/src/verbenawind/cli/client.py
@@ -85,7 +85,7 @@
         """Send a request that makes a change and return the response.
 
         Raises:
-            CommandFailed: The request failed; the exit code tells whether it may have run.
+            CommandFailed: The request failed; the exit code shows whether it may have run.
         """
         parameters_set = {
             name: value for name, value in (parameters or {}).items() if value is not None
--- a/src/verbenawind/cli/logs.py
+++ b/src/verbenawind/cli/logs.py
@@ -46,9 +46,9 @@
 @command("check", "deploy", "SETTINGS")
 def check(invocation: Invocation) -> Result:
     """Validate a host's settings file as the daemon does; all faults are printed."""
-    what, path = invocation.arguments
-    if what != "deploy":
-        raise CommandFailed(ExitCode.USAGE, f"check: the subject must be 'deploy', not {what!r}")
+    subject, path = invocation.arguments
+    if subject != "deploy":
+        raise CommandFailed(ExitCode.USAGE, f"check: the subject must be 'deploy', not {subject!r}")
     try:
         settings = load_host_settings(path)
     except SettingsInvalid as error:
--- a/src/verbenawind/document/references.py
+++ b/src/verbenawind/document/references.py
@@ -90,9 +90,9 @@
     known_scoring_services = {service.name for service in document.scoring_services}
     yield from _undefined_names(f"{path}.caller", "caller", [trainer.caller], callers)
     yield from _undefined_names(f"{path}.model", "model", [trainer.model], models)
-    wanted = [trainer.scoring_service] if trainer.scoring_service else []
+    referenced = [trainer.scoring_service] if trainer.scoring_service else []
     yield from _undefined_names(
-        f"{path}.scoring_service", "scoring service", wanted, known_scoring_services
+        f"{path}.scoring_service", "scoring service", referenced, known_scoring_services
     )
     caller = callers.get(trainer.caller)
     if caller is None:
@@ -114,11 +114,11 @@
 
 
 def _undefined_names(
-    path: str, what: str, names: Iterable[str], known: Iterable[str]
+    path: str, label: str, names: Iterable[str], known: Iterable[str]
 ) -> Iterator[str]:
     for name in names:
         if name not in known:
-            yield f"{path}: no {what} named {name!r}"
+            yield f"{path}: no {label} named {name!r}"
 
 
 def _duplicates(values: Sequence[str], part: str, field: str) -> Iterator[str]:
--- a/src/verbenawind/document/types.py
+++ b/src/verbenawind/document/types.py
@@ -189,8 +189,8 @@
 class ScoringServiceSpec(_Spec, frozen=True, kw_only=True):
     """A scoring service, which grades samples."""
 
-    name: Annotated[Name, Meta(description="The group of hosts in the platform's host list.")]
-    plugin: Annotated[Name, Meta(description="The adapter that speaks to the hosts.")] = (
+    name: Annotated[Name, Meta(description="The hosts' group in the platform's host list.")]
+    plugin: Annotated[Name, Meta(description="The adapter for the hosts' protocol.")] = (
         "scoring-http"
     )
     timeout_s: Annotated[Positive, Meta(description="The timeout of one grade, in seconds.")] = 10.0
@@ -213,8 +213,8 @@
 class ServiceSpec(_Spec, frozen=True, kw_only=True):
     """A plain service; for calls without a matching route the HTTP method decides idempotency."""
 
-    name: Annotated[Name, Meta(description="The group of hosts in the platform's host list.")]
-    plugin: Annotated[Name, Meta(description="The adapter that speaks to the hosts.")] = (
+    name: Annotated[Name, Meta(description="The hosts' group in the platform's host list.")]
+    plugin: Annotated[Name, Meta(description="The adapter for the hosts' protocol.")] = (
         "service-http"
     )
     routes: Annotated[
