--- a/src/verbenawind/api/errors.py
+++ b/src/verbenawind/api/errors.py
@@ -48,7 +48,7 @@
 )
 
 __all__ = [
-    "ErrorAnswer",
+    "ErrorBody",
     "ErrorDetail",
     "error_body",
     "error_response",
@@ -79,7 +79,7 @@
     acknowledged_cursor: int | None = None
 
 
-class ErrorAnswer(msgspec.Struct):
+class ErrorBody(msgspec.Struct):
     """The body of every error response."""
 
     error: ErrorDetail
@@ -177,7 +177,7 @@
     return 504
 
 
-def error_body(error: VerbenawindError) -> ErrorAnswer:
+def error_body(error: VerbenawindError) -> ErrorBody:
     """Return the response body for *error*."""
     kind = "invalid_request_error" if http_status(error) < 500 else "server_error"
     detail = ErrorDetail(
@@ -194,7 +194,7 @@
         detail.difference = tuple(error.difference.splitlines())
     if isinstance(error, CursorConflict):
         detail.acknowledged_cursor = error.acknowledged_cursor
-    return ErrorAnswer(detail)
+    return ErrorBody(detail)
 
 
 def record_failure(request: Request[Any, Any, Any], error: VerbenawindError) -> None:
--- a/src/verbenawind/standins/demo_load.py
+++ b/src/verbenawind/standins/demo_load.py
@@ -6,7 +6,7 @@
 import httpx
 import msgspec
 
-from verbenawind.api.errors import ErrorAnswer
+from verbenawind.api.errors import ErrorBody
 from verbenawind.errors import Outcome
 from verbenawind.standins.demo_world import APPLICATION_TOKEN, MODEL, SERVICE
 from verbenawind.standins.engine import expected_token, natural_length
@@ -91,7 +91,7 @@
             if answer.status_code == httpx.codes.OK:
                 self.bookings_confirmed += 1
                 return
-            error = msgspec.json.decode(answer.content, type=ErrorAnswer).error
+            error = msgspec.json.decode(answer.content, type=ErrorBody).error
             if error.outcome is not Outcome.NOT_RUN and error.retry_after_s is None:
                 return
             await asyncio.sleep(error.retry_after_s or _RETRY_S)
--- a/src/verbenawind/standins/trainer_calls.py
+++ b/src/verbenawind/standins/trainer_calls.py
@@ -6,7 +6,7 @@
 import httpx
 import msgspec
 
-from verbenawind.api.errors import ErrorAnswer
+from verbenawind.api.errors import ErrorBody
 from verbenawind.clock import Clock
 from verbenawind.daemon import Core
 from verbenawind.document import EnvironmentRevision
@@ -85,7 +85,7 @@
 
 
 def _raise_cursor_conflict(response: httpx.Response) -> None:
-    error = msgspec.json.decode(response.content, type=ErrorAnswer).error
+    error = msgspec.json.decode(response.content, type=ErrorBody).error
     if error.code == CursorConflict.code and error.acknowledged_cursor is not None:
         raise CursorConflict(error.message, acknowledged_cursor=error.acknowledged_cursor)
 
