--- a/bench/streaming.py
+++ b/bench/streaming.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from bench.measurements import Better, Measurement
-from verbenawind.api.completion_answers import AnswerForm, stream_answer
+from verbenawind.api.completion_answers import CompletionFormatter, stream_response
 from verbenawind.api.streams import EventStream
 from verbenawind.http_server import HttpServer
 from verbenawind.kernel.messages import (
@@ -149,18 +149,18 @@
 
 
 def _callers_application(events: int) -> Any:
-    form = AnswerForm("req-1", "model", 0, chat=True, include_usage=False)
+    form = CompletionFormatter("req-1", "model", 0, chat=True, include_usage=False)
 
     async def application(scope: Any, receive: Any, send: Any) -> None:
-        answer = stream_answer(form, _events(events), (), lambda _: None)
+        answer = stream_response(form, _events(events), (), lambda _: None)
         await EventStream(answer).to_asgi_response()(scope, receive, send)
 
     return application
 
 
 def _bare_application(events: int) -> Any:
-    form = AnswerForm("req-1", "model", 0, chat=True, include_usage=False)
-    return _sending([form.token_chunk(_TEXT)] * events)
+    form = CompletionFormatter("req-1", "model", 0, chat=True, include_usage=False)
+    return _sending([form.text_chunk(_TEXT)] * events)
 
 
 def _engine_application(events: int) -> Any:
--- a/src/verbenawind/api/completion_answers.py
+++ b/src/verbenawind/api/completion_answers.py
@@ -11,14 +11,14 @@
 from verbenawind.errors import StreamTruncated, VerbenawindError
 from verbenawind.kernel.messages import EngineEvent, GenerationEnded
 
-__all__ = ["AnswerForm", "collect_response", "generated_text", "stream_answer"]
+__all__ = ["CompletionFormatter", "collect_response", "generated_text", "stream_response"]
 
 _ENCODER = msgspec.json.Encoder()
 _DONE_EVENT = b"data: [DONE]\n\n"
 _FINISH_REASON_STOP = "stop"
 
 
-class AnswerForm:
+class CompletionFormatter:
     """Formats the response to one request.
 
     Args:
@@ -41,7 +41,7 @@
         response_body = self._encode_chunk(self._choice("\x00", None))
         self._prefix, self._suffix = response_body.split(_ENCODER.encode("\x00"))
 
-    def token_chunk(self, text: str) -> bytes:
+    def text_chunk(self, text: str) -> bytes:
         """Return the event for a piece of text; the JSON around it is encoded once per request."""
         return b"".join((self._prefix, _ENCODER.encode(text), self._suffix))
 
@@ -87,7 +87,9 @@
 
 
 async def collect_response(
-    formatter: AnswerForm, events: AsyncGenerator[EngineEvent, None], stop_texts: tuple[str, ...]
+    formatter: CompletionFormatter,
+    events: AsyncGenerator[EngineEvent, None],
+    stop_texts: tuple[str, ...],
 ) -> dict[str, Any]:
     """Collect the generation and return the response body; errors of the generation propagate."""
     pieces = []
@@ -103,8 +105,8 @@
     return formatter.response_body("".join(pieces), *ending)
 
 
-async def stream_answer(
-    formatter: AnswerForm,
+async def stream_response(
+    formatter: CompletionFormatter,
     events: AsyncGenerator[EngineEvent, None],
     stop_texts: tuple[str, ...],
     on_failure: Callable[[VerbenawindError], None],
@@ -125,7 +127,7 @@
                     yield formatter.final_chunks(*piece)
                     return
                 if piece:
-                    yield formatter.token_chunk(piece)
+                    yield formatter.text_chunk(piece)
         raise StreamTruncated("the generation ended without a finish reason")
     except VerbenawindError as error:
         if not started:
--- a/src/verbenawind/api/openai_routes.py
+++ b/src/verbenawind/api/openai_routes.py
@@ -6,9 +6,9 @@
 from litestar import Request, Response, get, post
 
 from verbenawind.api.completion_answers import (
-    AnswerForm,
+    CompletionFormatter,
     collect_response,
-    stream_answer,
+    stream_response,
 )
 from verbenawind.api.completion_requests import ChatRequest, CompletionRequest
 from verbenawind.api.errors import record_failure
@@ -79,7 +79,7 @@
     body.check(services.settings.limits.max_tokens_per_generation)
     model = _authorized_model(revision, caller, body.model)
     generate_request = _generate_request(request, services, revision, caller, model, body)
-    formatter = AnswerForm(
+    formatter = CompletionFormatter(
         generate_request.request_id,
         model.name,
         int(services.clock.now().timestamp()),
@@ -91,7 +91,7 @@
         work = collect_response(formatter, events, body.stop_texts())
         return json_response(await run_until_disconnect(request.receive, work))
     return EventStream(
-        stream_answer(
+        stream_response(
             formatter, events, body.stop_texts(), lambda error: record_failure(request, error)
         )
     )
--- a/tests/api/test_completion_answers.py
+++ b/tests/api/test_completion_answers.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncGenerator
 from typing import Any
 
-from verbenawind.api.completion_answers import AnswerForm, stream_answer
+from verbenawind.api.completion_answers import CompletionFormatter, stream_response
 from verbenawind.kernel.messages import EngineEvent, GenerationEnded, TokensGenerated
 
 
@@ -30,8 +30,8 @@
         async def stream() -> list[bytes]:
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda _, context: faults.append(context))
-            form = AnswerForm("r", "tuner", 0, chat=False, include_usage=False)
-            chunks = [c async for c in stream_answer(form, generation(), (), lambda _: None)]
+            form = CompletionFormatter("r", "tuner", 0, chat=False, include_usage=False)
+            chunks = [c async for c in stream_response(form, generation(), (), lambda _: None)]
             gc.collect()
             await asyncio.sleep(0.1)
             gc.collect()
