--- a/bench/streaming.py
+++ b/bench/streaming.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from bench.measurements import Better, Measurement
-from verbenawind.api.completion_answers import CompletionFormatter, stream_response
+from verbenawind.api.completion_responses import CompletionFormatter, stream_response
 from verbenawind.api.streams import EventStream
 from verbenawind.http_server import HttpServer
 from verbenawind.kernel.messages import (
--- a/src/verbenawind/api/openai_routes.py
+++ b/src/verbenawind/api/openai_routes.py
@@ -5,12 +5,12 @@
 
 from litestar import Request, Response, get, post
 
-from verbenawind.api.completion_answers import (
+from verbenawind.api.completion_requests import ChatRequest, CompletionRequest
+from verbenawind.api.completion_responses import (
     CompletionFormatter,
     collect_response,
     stream_response,
 )
-from verbenawind.api.completion_requests import ChatRequest, CompletionRequest
 from verbenawind.api.errors import record_failure
 from verbenawind.api.headers import deadline_s, decode_body, is_reconnect, request_id
 from verbenawind.api.responses import json_response
--- a/tests/api/test_completion_answers.py
+++ b/tests/api/test_completion_responses.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncGenerator
 from typing import Any
 
-from verbenawind.api.completion_answers import CompletionFormatter, stream_response
+from verbenawind.api.completion_responses import CompletionFormatter, stream_response
 from verbenawind.kernel.messages import EngineEvent, GenerationEnded, TokensGenerated
 
 
