--- a/src/verbenawind/document/loading.py
+++ b/src/verbenawind/document/loading.py
@@ -15,10 +15,10 @@
 
 __all__ = [
     "canonical_bytes",
-    "convert_all",
+    "conversion_faults",
     "document_digest",
     "parse_document",
-    "read_json",
+    "parse_jsonc",
 ]
 
 
@@ -32,9 +32,9 @@
     Raises:
         DocumentInvalid: The text is not JSON or is invalid; all faults are listed.
     """
-    raw, faults = read_json(text)
+    raw, faults = parse_jsonc(text)
     if raw is not None:
-        faults += convert_all(raw, EnvironmentDocument, "$")
+        faults += conversion_faults(raw, EnvironmentDocument, "$")
     if faults:
         raise DocumentInvalid(faults)
     document = msgspec.convert(raw, EnvironmentDocument)
@@ -44,7 +44,7 @@
     return document
 
 
-def read_json(text: str) -> tuple[Any, list[str]]:
+def parse_jsonc(text: str) -> tuple[Any, list[str]]:
     """Return the value in *text*, which is JSON with comments, and any syntax faults."""
     faults: list[str] = []
 
@@ -80,7 +80,9 @@
     return digest_hex(canonical_bytes(document))
 
 
-def convert_all(raw: Any, kind: Any, path: str, *, unknown_allowed: bool = False) -> Iterator[str]:
+def conversion_faults(
+    raw: Any, kind: Any, path: str, *, unknown_allowed: bool = False
+) -> Iterator[str]:
     """Yield every fault that prevents the conversion of *raw* to *kind*, with path and value.
 
     ``msgspec.convert`` stops at the first fault, so structs and tuples are checked part by part.
@@ -99,7 +101,7 @@
     if typing.get_origin(kind) is tuple and isinstance(raw, list):
         item_kind = typing.get_args(kind)[0]
         for index, item in enumerate(raw):
-            yield from convert_all(
+            yield from conversion_faults(
                 item, item_kind, f"{path}[{index}]", unknown_allowed=unknown_allowed
             )
         return
@@ -128,7 +130,7 @@
         yield f"{path}.{name}: unknown field (value {_abbreviated(raw[name])})"
     for name, field in fields.items():
         if name in raw:
-            yield from convert_all(
+            yield from conversion_faults(
                 raw[name], hints[field.name], f"{path}.{name}", unknown_allowed=unknown_allowed
             )
         elif field.required:
--- a/src/verbenawind/platform/settings.py
+++ b/src/verbenawind/platform/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from verbenawind.document.loading import convert_all
+from verbenawind.document.loading import conversion_faults
 from verbenawind.errors import SettingsInvalid
 from verbenawind.kernel.messages import Location, Value
 
@@ -108,7 +108,7 @@
         raw: dict[str, Any] = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise SettingsInvalid(f"settings: {error}") from error
-    if faults := list(convert_all(raw, _File, "$", unknown_allowed=True)):
+    if faults := list(conversion_faults(raw, _File, "$", unknown_allowed=True)):
         raise SettingsInvalid("; ".join(faults))
     file = msgspec.convert(raw, _File)
     first, last = file.internal_ports
--- a/src/verbenawind/settings.py
+++ b/src/verbenawind/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from verbenawind.document.loading import convert_all, read_json
+from verbenawind.document.loading import conversion_faults, parse_jsonc
 from verbenawind.errors import SettingsInvalid
 
 __all__ = ["DaemonSettings", "LimitSettings", "load_settings", "parse_settings"]
@@ -132,9 +132,9 @@
     Raises:
         SettingsInvalid: The text is no JSON or has faults; all of them are listed.
     """
-    raw, faults = read_json(text)
+    raw, faults = parse_jsonc(text)
     if raw is not None:
-        faults += [*convert_all(raw, DaemonSettings, "$"), *_address_faults(raw)]
+        faults += [*conversion_faults(raw, DaemonSettings, "$"), *_address_faults(raw)]
     if faults:
         raise SettingsInvalid("; ".join(faults))
     return msgspec.convert(raw, DaemonSettings)
