--- a/src/verbenawind/api/operators.py
+++ b/src/verbenawind/api/operators.py
@@ -12,7 +12,7 @@
     EnvironmentDocument,
     EnvironmentRevision,
     Stage,
-    document_difference,
+    diff_documents,
     parse_document,
 )
 from verbenawind.errors import InvalidRequest, RevisionConflict, UnknownEnvironment
@@ -50,7 +50,7 @@
     services = operator_services(request)
     document = await _parse_body(request, environment)
     current = services.configuration.current(environment, _parse_stage(stage))
-    changes = document_difference(current.document if current else None, document)
+    changes = diff_documents(current.document if current else None, document)
     return json_response(
         {
             "environment": environment,
@@ -150,7 +150,7 @@
 ) -> RevisionConflict:
     await services.configuration.refresh()
     current = services.configuration.current(document.environment, stage)
-    changes = document_difference(current.document if current else None, document)
+    changes = diff_documents(current.document if current else None, document)
     return RevisionConflict(
         error.message,
         current_revision=current.revision if current else error.current_revision,
--- a/src/verbenawind/document/__init__.py
+++ b/src/verbenawind/document/__init__.py
@@ -1,6 +1,6 @@
 """The environment document: its types, parser and validation."""
 
-from verbenawind.document.difference import Change, document_difference
+from verbenawind.document.difference import Change, diff_documents
 from verbenawind.document.loading import canonical_bytes, document_digest, parse_document
 from verbenawind.document.references import KnownAdapters
 from verbenawind.document.types import (
@@ -42,7 +42,7 @@
     "TrainerSpec",
     "WeightsSpec",
     "canonical_bytes",
-    "document_difference",
+    "diff_documents",
     "document_digest",
     "parse_document",
 ]
--- a/src/verbenawind/document/difference.py
+++ b/src/verbenawind/document/difference.py
@@ -8,7 +8,7 @@
 from verbenawind.document.loading import canonical_bytes
 from verbenawind.document.types import EnvironmentDocument
 
-__all__ = ["Change", "document_difference"]
+__all__ = ["Change", "diff_documents"]
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
@@ -26,7 +26,7 @@
         return f"~ {self.path}: {self.before} -> {self.after}"
 
 
-def document_difference(
+def diff_documents(
     before: EnvironmentDocument | None, after: EnvironmentDocument | None
 ) -> tuple[Change, ...]:
     """Return the fields that differ, sorted by path; list items are matched by name."""
--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -11,7 +11,7 @@
     EnvironmentDocument,
     EnvironmentRevision,
     Stage,
-    document_difference,
+    diff_documents,
     document_digest,
 )
 from verbenawind.errors import (
@@ -244,7 +244,7 @@
             self.learn(current)
         number = current.revision if current else 0
         author = f" by {current.author!r}" if current and current.author else ""
-        changes = document_difference(current.document if current else None, document)
+        changes = diff_documents(current.document if current else None, document)
         return RevisionConflict(
             f"{document.environment}/{stage} is at revision {number}{author}",
             current_revision=number,
