--- a/tests/api/test_completion_responses.py
+++ b/tests/api/test_completion_responses.py
@@ -18,7 +18,7 @@
         await asyncio.sleep(0.01)
 
 
-class TestStreamAnswer:
+class TestStreamResponse:
     def test_generators_are_closed_in_order(self) -> None:
         """The end of a stream closes the generation without errors in the event loop.
 
