--- a/src/verbenawind/kernel/registry.py
+++ b/src/verbenawind/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registries through which plug-ins make themselves known by name."""
+"""Registry of plug-in factories by name."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -11,28 +11,28 @@
 
 
 class Registry(Generic[T]):
-    """Maps the names that documents and settings use to the factories of plug-ins.
+    """Maps the names used in documents and settings to plug-in factories.
 
     Args:
-        what: What the registry holds, for error messages.
+        kind: Kind of plug-in, for error messages.
     """
 
-    __slots__ = ("_factories", "_what")
+    __slots__ = ("_factories", "_kind")
 
-    def __init__(self, what: str) -> None:
-        self._what = what
+    def __init__(self, kind: str) -> None:
+        self._kind = kind
         self._factories: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
         """Return a decorator that registers a factory under *name*.
 
         Raises:
-            ValueError: The name is taken.
+            ValueError: The name is already registered.
         """
 
         def decorate(factory: T) -> T:
             if name in self._factories:
-                raise ValueError(f"{self._what} {name!r} is registered twice")
+                raise ValueError(f"{self._kind} {name!r} is already registered")
             self._factories[name] = factory
             return factory
 
@@ -42,13 +42,13 @@
         """Return the factory registered under *name*.
 
         Raises:
-            SettingsInvalid: No plug-in has that name.
+            SettingsInvalid: The name is not registered.
         """
         if name not in self._factories:
             known = ", ".join(sorted(self._factories)) or "none"
-            raise SettingsInvalid(f"unknown {self._what} {name!r}; known are: {known}")
+            raise SettingsInvalid(f"unknown {self._kind} {name!r}; known: {known}")
         return self._factories[name]
 
     def names(self) -> tuple[str, ...]:
-        """Return the registered names in order."""
+        """Return the registered names in sorted order."""
         return tuple(sorted(self._factories))
