--- a/src/verbenawind/kernel/fleet.py
+++ b/src/verbenawind/kernel/fleet.py
@@ -1,4 +1,4 @@
-"""The daemon's soft view of the backend servers: who exists, who leaves, what they report."""
+"""A daemon's soft state about backend servers: which exist, which are leaving, their status."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,11 +12,12 @@
 
 __all__ = ["Fleet", "ServerView"]
 
-_OWN_OBSERVATION_S = 1.0
+# Peer reports are ignored for this long after this daemon observed the engine itself.
+_OWN_OBSERVATION_MAX_AGE_S = 1.0
 
 
 class ServerView:
-    """What is believed of one incarnation of one backend server."""
+    """The known state of one incarnation of a backend server."""
 
     __slots__ = ("leaving", "observed_at_s", "server", "status", "status_at_s", "suspected_until_s")
 
@@ -29,16 +30,16 @@
         self.observed_at_s = float("-inf")
 
     def usable(self, now_s: float) -> bool:
-        """Return whether new work may go to the server at monotonic time *now_s*."""
+        """Return whether new work may be sent to the server at monotonic time *now_s*."""
         return not self.leaving and self.suspected_until_s <= now_s
 
 
 class Fleet:
-    """Holds the views of all known backend servers; losing it costs time, never correctness.
+    """Views of all known backend servers; losing them costs time but not correctness.
 
     Args:
-        clock: Gives the monotonic time of observations.
-        location: Where this daemon runs.
+        clock: Time source for observations.
+        location: Location of this daemon.
     """
 
     __slots__ = (
@@ -59,19 +60,19 @@
         self._observation_listeners: list[Callable[[EngineStatus], None]] = []
 
     def view(self, server_id: str) -> ServerView | None:
-        """Return the view of one server, None when it is unknown."""
+        """Return the view of a server, or None if the server is unknown."""
         return self._views.get(server_id)
 
     def group(self, kind: BackendKind, group: str) -> Sequence[ServerView]:
-        """Return the views of one pool's or one service's servers."""
+        """Return the views of the servers of one pool or service."""
         return tuple(self._groups.get((kind, group), {}).values())
 
     def all(self) -> Sequence[ServerView]:
-        """Return every view."""
+        """Return all views."""
         return tuple(self._views.values())
 
     def add(self, server: BackendServer) -> ServerView:
-        """Add a server, or replace its view when the incarnation is newer."""
+        """Add a server, or replace its view if the incarnation is newer."""
         known = self._views.get(server.server_id)
         if known is not None and known.server.incarnation >= server.incarnation:
             return known
@@ -83,14 +84,14 @@
         return view
 
     def forget(self, server_id: str) -> None:
-        """Drop a server that no longer exists."""
+        """Remove a server that no longer exists."""
         view = self._views.pop(server_id, None)
         if view is not None:
             del self._groups[(view.server.kind, view.server.group)][server_id]
 
     def observe(self, status: EngineStatus) -> None:
-        """Take in what an engine reported to this daemon; it may carry a newer incarnation."""
-        view = self._take_in(status)
+        """Apply a status that this daemon observed; it may have a newer incarnation."""
+        view = self._apply_status(status)
         if view is None:
             return
         view.observed_at_s = view.status_at_s
@@ -98,15 +99,19 @@
             listener(status)
 
     def learn(self, status: EngineStatus) -> None:
-        """Take in a report that a peer observed, unless this daemon has a fresher one."""
+        """Apply a status observed by a peer.
+
+        It is ignored while this daemon's own observation is recent, unless it says that the engine
+        is leaving or has a newer incarnation.
+        """
         view = self._views.get(status.server_id)
         if view is None:
             return
-        fresh = self._clock.monotonic_s() - view.observed_at_s < _OWN_OBSERVATION_S
+        fresh = self._clock.monotonic_s() - view.observed_at_s < _OWN_OBSERVATION_MAX_AGE_S
         if not fresh or status.leaving or status.incarnation > view.server.incarnation:
-            self._take_in(status)
+            self._apply_status(status)
 
-    def _take_in(self, status: EngineStatus) -> ServerView | None:
+    def _apply_status(self, status: EngineStatus) -> ServerView | None:
         view = self._views.get(status.server_id)
         if view is None or status.incarnation < view.server.incarnation:
             return None
@@ -120,7 +125,7 @@
         return view
 
     def mark_leaving(self, server_id: str, incarnation: int) -> None:
-        """Stop new work to a server; sticky for that incarnation."""
+        """Stop sending new work to a server; permanent for that incarnation."""
         view = self._views.get(server_id)
         if view is None or view.leaving or incarnation < view.server.incarnation:
             return
@@ -129,17 +134,17 @@
             listener(view)
 
     def suspect(self, server_id: str, duration_s: float) -> None:
-        """Avoid a server for *duration_s* seconds, or until it reports again."""
+        """Avoid a server for *duration_s* seconds or until its next status arrives."""
         view = self._views.get(server_id)
         if view is not None:
             view.suspected_until_s = self._clock.monotonic_s() + duration_s
 
     def on_leaving(self, listener: Callable[[ServerView], None]) -> None:
-        """Call *listener* once for each server that starts to leave."""
+        """Call *listener* once for each server that begins leaving."""
         self._leaving_listeners.append(listener)
 
     def on_observed(self, listener: Callable[[EngineStatus], None]) -> None:
-        """Call *listener* with each report that this daemon observed itself."""
+        """Call *listener* with each status that this daemon observed itself."""
         self._observation_listeners.append(listener)
 
 
