--- a/src/verbenawind/plugins/http1_client.py
+++ b/src/verbenawind/plugins/http1_client.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 client over a C parser, for backend servers and the platform's store.
+"""A minimal HTTP/1.1 client for backend servers and the platform's store, using a C parser.
 
-Responses are matched to requests by an id that the server echoes, so that a second response to an
-earlier request is never taken for the answer to a later one.
+Responses are matched to requests by an id that the server echoes, so a duplicate response to an
+earlier request is never mistaken for the response to a later one.
 """
 
 import asyncio
@@ -20,18 +20,23 @@
 
 Header = tuple[str, str]
 
-# Received bytes that wait for their reader before the socket is no longer read.
+# Reading from the socket pauses while more than this many received bytes are unread.
 _MAX_BUFFERED_BYTES = 256 * 1024
-# A kept connection whose server names no idle timeout is used again for so long.
-_DEFAULT_IDLE_S = 4.0
-# A server may close a connection at its timeout while a request is on its way.
+# Idle timeout of a connection whose server sends no keep-alive timeout.
+_DEFAULT_IDLE_TIMEOUT_S = 4.0
+# A connection is not reused this close to its idle timeout, because the server may close it while
+# a request is in transit.
 _IDLE_MARGIN_S = 0.5
-# Unacknowledged bytes for so long end a connection whose peer has gone silent.
+# The operating system closes a connection whose sent data stays unacknowledged for this long, which
+# detects a peer that no longer responds.
 _USER_TIMEOUT_MS = 4_000
 
 
 class Http1Request(msgspec.Struct, frozen=True, kw_only=True):
-    """A request; ``echo`` is a header that the right response repeats, where it has it."""
+    """A request.
+
+    ``echo`` is a header that the matching response repeats if it has a header of that name.
+    """
 
     method: str
     target: str
@@ -40,7 +45,7 @@
     echo: Header | None = None
 
     def encode(self) -> bytes:
-        """Return the request's bytes."""
+        """Return the request in wire format."""
         lines = [f"{self.method} {self.target} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in self.headers]
         if self.body or self.method not in ("GET", "HEAD", "DELETE"):
@@ -49,151 +54,153 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, which serves one request at a time."""
+    """A connection that handles one request at a time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._transport: asyncio.Transport | None = None
         self._response: Http1Response | None = None
         self._parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
-        self._skipping = False
+        self._skip_message = False
         self._echo: Header | None = None
         self._headers: list[Header] = []
         self._framed = False
-        self.usable_until_s = 0.0
+        self.reusable_until_s = 0.0
         self.used = False
         self.closed = False
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Remember the transport."""
+        """Store the transport and set the user timeout of the socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        raw = transport.get_extra_info("socket")
-        if raw is not None:
+        sock = transport.get_extra_info("socket")
+        if sock is not None:
             with contextlib.suppress(OSError):
-                raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes; bytes that belong to no request end the connection."""
+        """Parse received bytes; close the connection if no request is pending."""
         if self._response is None:
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("the server changed the protocol")
+            self._fail("server switched protocols")
         except httptools.HttpParserError as error:
-            self._fail(f"the response is no HTTP: {error}")
+            self._fail(f"invalid HTTP response: {error}")
 
     def eof_received(self) -> None:
-        """End a response that has no length."""
+        """Complete a response whose end is marked by the end of the connection."""
         if self._response is not None and self._response.started and not self._framed:
             self._finish()
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the response that is under way."""
+        """Fail the pending response."""
         self.closed = True
-        self._fail(f"the connection was lost ({exc or 'closed'})")
+        self._fail(f"connection lost ({exc or 'closed'})")
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Begin to collect headers; a message that no request asked for ends the connection."""
+        """Start collecting headers; close the connection if no request is pending."""
         self._headers = []
         if self._response is None:
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header."""
+        """Store one header."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Hand the head over, unless it is of another request's response."""
+        """Pass the head to the response; skip 1xx messages and responses to other requests."""
         response = self._response
         status = self._parser.get_status_code()
         if response is None:
             return
-        self._skipping = 100 <= status < 200 or not self._echoed()
-        if self._skipping:
+        self._skip_message = 100 <= status < 200 or not self._echo_matches()
+        if self._skip_message:
             return
         names = {name.lower() for name, _ in self._headers}
         self._framed = bool(names & {"content-length", "transfer-encoding"}) or status in (204, 304)
         response.begin(status, self._headers)
 
     def on_body(self, body: bytes) -> None:
-        """Hand a stretch of the body over."""
-        if self._response is None or self._skipping:
+        """Pass a part of the body to the response; pause reading while too much is unread."""
+        if self._response is None or self._skip_message:
             return
         self._response.feed(body)
         if self._response.buffered_bytes > _MAX_BUFFERED_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """End the response, or skip over one that was another request's."""
-        if self._skipping:
-            self._skipping = False
+        """Complete the response, or finish skipping a message."""
+        if self._skip_message:
+            self._skip_message = False
             return
         if self._response is not None:
             self._finish()
 
-    # What the client calls.
+    # Called by the client and the response.
 
     def send(self, request: Http1Request, response: "Http1Response") -> None:
-        """Send a request whose response is wanted."""
+        """Send a request and direct the parsed response to *response*."""
         assert self._transport is not None
         self._response, self._echo = response, request.echo
         self.used = True
         self._transport.write(request.encode())
 
     def resume_reading(self) -> None:
-        """Read on after the reader has caught up."""
+        """Resume reading from the socket after the buffered data has been read."""
         if self._transport is not None and not self.closed:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Reset the connection at once, so that the server stops its work."""
+        """Abort the connection, so that the server stops processing the request."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     @property
-    def idle(self) -> bool:
-        """Whether another request may be sent."""
+    def reusable(self) -> bool:
+        """Whether the connection can be reused for another request."""
         return (
             not self.closed
             and self._response is None
-            and self._clock.monotonic_s() < self.usable_until_s
+            and self._clock.monotonic_s() < self.reusable_until_s
         )
 
-    def _echoed(self) -> bool:
+    def _echo_matches(self) -> bool:
         if self._echo is None:
             return True
         name, value = self._echo
-        echoes = [seen for header, seen in self._headers if header.lower() == name.lower()]
+        echoes = [echoed for header, echoed in self._headers if header.lower() == name.lower()]
         return not echoes or value in echoes
 
     def _finish(self) -> None:
         response, self._response = self._response, None
         assert response is not None and self._transport is not None
-        keep = self._framed and self._parser.should_keep_alive()
-        if self._transport.get_write_buffer_size() > 0 or not keep:
+        keep_alive = self._framed and self._parser.should_keep_alive()
+        if self._transport.get_write_buffer_size() > 0 or not keep_alive:
             self.closed = True
             self._transport.close()
         else:
-            self.usable_until_s = self._clock.monotonic_s() + self._idle_s() - _IDLE_MARGIN_S
+            self.reusable_until_s = (
+                self._clock.monotonic_s() + self._idle_timeout_s() - _IDLE_MARGIN_S
+            )
         response.finish()
 
-    def _idle_s(self) -> float:
+    def _idle_timeout_s(self) -> float:
         for name, value in self._headers:
             if name.lower() == "keep-alive":
                 for part in value.split(","):
                     key, _, number = part.strip().partition("=")
                     if key == "timeout" and number.isdigit():
                         return float(number)
-        return _DEFAULT_IDLE_S
+        return _DEFAULT_IDLE_TIMEOUT_S
 
     def _fail(self, reason: str) -> None:
         response, self._response = self._response, None
@@ -203,14 +210,14 @@
 
 
 class Http1Response:
-    """A response that arrives; read it to its end or close it."""
+    """A response that may still be arriving; read it to its end or close it."""
 
     __slots__ = (
         "_chunks",
         "_client",
         "_connection",
         "_error",
-        "_wake",
+        "_updated",
         "address",
         "buffered_bytes",
         "complete",
@@ -223,7 +230,7 @@
         self._client = client
         self._connection = connection
         self._chunks: deque[bytes] = deque()
-        self._wake = asyncio.Event()
+        self._updated = asyncio.Event()
         self._error = ""
         self.address = address
         self.buffered_bytes = 0
@@ -233,21 +240,21 @@
         self.headers: list[Header] = []
 
     def header(self, name: str) -> str | None:
-        """Return the first header of a name, in whatever case."""
+        """Return the first header with a name, ignoring case, or None."""
         wanted = name.lower()
         return next((value for key, value in self.headers if key.lower() == wanted), None)
 
     async def head(self) -> None:
-        """Wait for the status and headers; raises BackendServerFailed when none came."""
+        """Wait for the status and headers; raises BackendServerFailed if none arrive."""
         while not self.started:
             self._check()
             await self._wait()
 
     async def chunk(self) -> bytes:
-        """Return the next bytes of the body, or nothing at its end.
+        """Return the next bytes of the body, or empty bytes at its end.
 
         Raises:
-            BackendServerFailed: The body broke off.
+            BackendServerFailed: The connection failed before the end of the body.
         """
         while not self._chunks:
             if self.complete:
@@ -261,56 +268,56 @@
         return data
 
     async def body(self) -> bytes:
-        """Return the rest of the body."""
+        """Return the remaining body."""
         parts = []
         while data := await self.chunk():
             parts.append(data)
         return b"".join(parts)
 
     def close(self) -> None:
-        """Give the response up; a server that still works on it is cut off."""
+        """Discard the response; aborts the connection unless the response is complete."""
         if not self.complete:
             self._connection.close()
 
-    # What the connection calls.
+    # Called by the connection.
 
     def begin(self, status: int, headers: list[Header]) -> None:
-        """Take the head."""
+        """Set the status and headers."""
         self.status, self.headers, self.started = status, headers, True
-        self._wake.set()
+        self._updated.set()
 
     def feed(self, data: bytes) -> None:
-        """Take a stretch of the body."""
+        """Append a part of the body."""
         self._chunks.append(data)
         self.buffered_bytes += len(data)
-        self._wake.set()
+        self._updated.set()
 
     def finish(self) -> None:
-        """Mark the body as whole and give the connection back."""
+        """Mark the response as complete and release the connection."""
         self.complete = True
-        self._client.give_back(self.address, self._connection)
-        self._wake.set()
+        self._client.release(self.address, self._connection)
+        self._updated.set()
 
     def fail(self, reason: str) -> None:
-        """Mark the response as broken off."""
+        """Mark the response as failed."""
         self._error = reason
-        self._wake.set()
+        self._updated.set()
 
     def _check(self) -> None:
         if self._error:
             raise BackendServerFailed(f"server {self.address}: {self._error}")
 
     async def _wait(self) -> None:
-        self._wake.clear()
-        await self._wake.wait()
+        self._updated.clear()
+        await self._updated.wait()
 
 
 class Http1Client:
-    """Keeps connections to many addresses and sends requests over them.
+    """Sends requests over pooled connections to many addresses.
 
     Args:
         clock: Time source.
-        connect_timeout_s: How long a connection may take to open.
+        connect_timeout_s: Timeout for opening a connection, in seconds.
     """
 
     __slots__ = ("_clock", "_connect_timeout_s", "_idle", "opened")
@@ -324,43 +331,43 @@
     async def send(
         self, address: str, request: Http1Request, *, fresh: bool = False
     ) -> Http1Response:
-        """Send a request to ``IP:port`` and return its response, which has yet to arrive.
+        """Send a request and return its response without waiting for it to arrive.
 
         Args:
-            address: Where to.
-            request: What to send.
-            fresh: Use no kept connection.
+            address: Address of the server, ``IP:port``.
+            request: The request.
+            fresh: Open a new connection instead of reusing an idle one.
 
         Raises:
-            BackendServerUnreachable: No connection was made; nothing was sent.
+            BackendServerUnreachable: No connection could be opened; nothing was sent.
         """
-        connection = None if fresh else self._kept(address)
+        connection = None if fresh else self._take_idle(address)
         if connection is None:
             connection = await self._connect(address)
         response = Http1Response(self, connection, address)
         connection.send(request, response)
         return response
 
-    def give_back(self, address: str, connection: _Connection) -> None:
-        """Keep a connection whose response is complete."""
-        if connection.idle:
+    def release(self, address: str, connection: _Connection) -> None:
+        """Return a connection to the pool if it can be reused."""
+        if connection.reusable:
             self._idle.setdefault(address, []).append(connection)
 
-    def forget(self, address: str) -> None:
-        """Close the kept connections to an address."""
+    def close_idle(self, address: str) -> None:
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
-    def _kept(self, address: str) -> _Connection | None:
-        kept = self._idle.get(address, [])
-        while kept:
-            connection = kept.pop()
-            if connection.idle:
+    def _take_idle(self, address: str) -> _Connection | None:
+        idle = self._idle.get(address, [])
+        while idle:
+            connection = idle.pop()
+            if connection.reusable:
                 return connection
             connection.close()
         return None
@@ -374,6 +381,8 @@
                     lambda: _Connection(self._clock), host, int(port)
                 )
         except (OSError, ValueError, TimeoutError) as error:
-            raise BackendServerUnreachable(f"server {address}: {error!r}") from error
+            raise BackendServerUnreachable(
+                f"cannot connect to server {address}: {error!r}"
+            ) from error
         self.opened += 1
         return connection
