--- a/src/verbenawind/plugins/engine_http.py
+++ b/src/verbenawind/plugins/engine_http.py
@@ -1,4 +1,4 @@
-"""Adapter for engines with an OpenAI-compatible completions endpoint and admin extensions."""
+"""Adapter for engines with an OpenAI-compatible completions API and management endpoints."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -33,12 +33,14 @@
 _STATUS_TIMEOUT_S = 2.0
 _STREAM_SILENCE_TIMEOUT_S = 30.0
 _MAX_CONNECTIONS = 512
-_REFUSED = 503
-_FENCED = 409
+_STATUS_ADMISSION_REFUSED = 503
+_STATUS_FENCING_REFUSED = 409
 _DATA = b"data: "
 _DONE = b"data: [DONE]"
-_MAX_GATHER_S = 0.15
-_GATHER_PER_STREAM_S = 0.0005
+# The minimum interval between the token events of a stream grows with the number of open streams,
+# because every event costs processing time.
+_MAX_EVENT_INTERVAL_S = 0.15
+_EVENT_INTERVAL_PER_STREAM_S = 0.0005
 
 
 class _Choice(msgspec.Struct):
@@ -58,11 +60,11 @@
     usage: _Usage | None = None
 
 
-_CHUNKS = msgspec.json.Decoder(_Chunk)
+_CHUNK_DECODER = msgspec.json.Decoder(_Chunk)
 
 
 class HttpEngineClient:
-    """Speaks to one engine over HTTP; implements the EngineClient port.
+    """HTTP client of one engine; implements the EngineClient port.
 
     Args:
         server: The engine.
@@ -77,11 +79,11 @@
             timeout=httpx.Timeout(_STREAM_SILENCE_TIMEOUT_S, connect=_CONNECT_TIMEOUT_S),
             limits=httpx.Limits(max_connections=_MAX_CONNECTIONS),
             trust_env=False,
-            verify=False,  # The addresses are plain HTTP; loading certificates takes 30 ms.
+            verify=False,  # Addresses use plain HTTP; loading certificates takes 30 ms.
         )
 
     async def generate(self, attempt: GenerationAttempt) -> AsyncGenerator[EngineEvent, None]:
-        """Stream one attempt; closing the generator closes the connection and so cancels it."""
+        """Stream one attempt; closing the generator closes the connection, which cancels it."""
         body = msgspec.json.encode(
             {
                 "model": attempt.model,
@@ -96,40 +98,40 @@
                 "held_token_ids": attempt.held_token_ids,
             }
         )
-        what = f"engine {self._server.server_id} attempt {attempt.attempt_id}"
-        with backend_errors(what):
+        operation = f"engine {self._server.server_id} attempt {attempt.attempt_id}"
+        with backend_errors(operation):
             async with self._client.stream("POST", "/v1/completions", content=body) as response:
-                if response.status_code == _REFUSED:
-                    raise AdmissionRefused(f"{what}: refused")
+                if response.status_code == _STATUS_ADMISSION_REFUSED:
+                    raise AdmissionRefused(f"{operation}: admission refused")
                 if response.status_code != httpx.codes.OK:
-                    raise BackendServerFailed(f"{what}: status {response.status_code}")
-                _STREAMS.count += 1
+                    raise BackendServerFailed(f"{operation}: status {response.status_code}")
+                _OPEN_STREAMS.count += 1
                 try:
-                    async for event in self._events(attempt.attempt_id, response, what):
+                    async for event in self._events(attempt.attempt_id, response, operation):
                         yield event
                 finally:
-                    _STREAMS.count -= 1
+                    _OPEN_STREAMS.count -= 1
 
     async def cancel(self, attempt_id: str) -> None:
-        """Ask the engine to stop an attempt."""
+        """Cancel an attempt on the engine."""
         await self._call("POST", f"/v1/cancel/{attempt_id}")
 
     async def status(self) -> EngineStatus:
-        """Return the engine's report."""
-        answer = await self._call("GET", "/status", timeout_s=_STATUS_TIMEOUT_S)
-        return msgspec.json.decode(answer, type=EngineStatus)
+        """Return the engine's reported status."""
+        response_body = await self._call("GET", "/status", timeout_s=_STATUS_TIMEOUT_S)
+        return msgspec.json.decode(response_body, type=EngineStatus)
 
     async def order(self, order: EngineOrder) -> EngineStatus:
-        """Send an order and return the status after it."""
-        answer = await self._call(
+        """Send an order and return the engine's resulting status."""
+        response_body = await self._call(
             "POST", "/orders", content=msgspec.json.encode(order), timeout_s=order.timeout_s
         )
-        return msgspec.json.decode(answer, type=EngineStatus)
+        return msgspec.json.decode(response_body, type=EngineStatus)
 
     async def cache_events(self, position: int) -> CacheEvents:
         """Return the cache events after *position*."""
-        answer = await self._call("GET", f"/cache/events?position={position}")
-        return msgspec.json.decode(answer, type=CacheEvents)
+        response_body = await self._call("GET", f"/cache/events?position={position}")
+        return msgspec.json.decode(response_body, type=CacheEvents)
 
     async def export_cache(self, attempt_id: str) -> bytes:
         """Return the KV cache of a running attempt."""
@@ -146,28 +148,28 @@
     async def _call(
         self, method: str, path: str, *, content: bytes | None = None, timeout_s: float = 10.0
     ) -> bytes:
-        what = f"engine {self._server.server_id} {method} {path}"
-        with backend_errors(what):
+        operation = f"engine {self._server.server_id} {method} {path}"
+        with backend_errors(operation):
             response = await self._client.request(method, path, content=content, timeout=timeout_s)
-        if response.status_code == _FENCED:
-            raise FencingRefused(f"{what}: {response.text}")
-        if response.status_code == _REFUSED:
-            raise AdmissionRefused(f"{what}: refused")
+        if response.status_code == _STATUS_FENCING_REFUSED:
+            raise FencingRefused(f"{operation}: {response.text}")
+        if response.status_code == _STATUS_ADMISSION_REFUSED:
+            raise AdmissionRefused(f"{operation}: admission refused")
         if response.status_code >= httpx.codes.BAD_REQUEST:
-            raise BackendServerFailed(f"{what}: status {response.status_code}")
+            raise BackendServerFailed(f"{operation}: status {response.status_code}")
         return response.content
 
     async def _events(
-        self, attempt_id: str, response: httpx.Response, what: str
+        self, attempt_id: str, response: httpx.Response, operation: str
     ) -> AsyncIterator[EngineEvent]:
-        reader = _StreamReader(attempt_id, what)
+        reader = _StreamReader(attempt_id, operation)
         loop = asyncio.get_running_loop()
         flushed_at_s = float("-inf")
         try:
             async for data in response.aiter_raw():
                 reader.feed(data)
                 now_s = loop.time()
-                if reader.done or now_s - flushed_at_s >= self._gather_s():
+                if reader.done or now_s - flushed_at_s >= self._min_event_interval_s():
                     flushed_at_s = now_s
                     for event in reader.take():
                         yield event
@@ -179,16 +181,16 @@
             raise
         for event in reader.take():
             yield event
-        raise StreamTruncated(f"{what}: the stream ended without its end mark")
+        raise StreamTruncated(f"{operation}: stream ended without its end mark")
 
     @staticmethod
-    def _gather_s() -> float:
-        """Return for how long tokens may gather to one event; it grows with the load."""
-        return min(_MAX_GATHER_S, _STREAMS.count * _GATHER_PER_STREAM_S)
+    def _min_event_interval_s() -> float:
+        """Return the minimum interval between a stream's events; it grows with the load."""
+        return min(_MAX_EVENT_INTERVAL_S, _OPEN_STREAMS.count * _EVENT_INTERVAL_PER_STREAM_S)
 
 
 class _OpenStreams:
-    """Counts the streams that this process reads."""
+    """Number of engine streams that this process is reading."""
 
     __slots__ = ("count",)
 
@@ -196,77 +198,87 @@
         self.count = 0
 
 
-_STREAMS = _OpenStreams()
+_OPEN_STREAMS = _OpenStreams()
 
 
 class _StreamReader:
-    """Turns the bytes of one server-sent event stream into events.
+    """Parses the bytes of one server-sent event stream into engine events.
 
-    Tokens that are taken together and follow each other become one event, so that what comes
-    after costs by the event and not by the token.
+    Contiguous chunks of one weight version are merged into one event between two calls of ``take``,
+    so that further processing costs per event and not per token.
     """
 
-    __slots__ = ("_attempt_id", "_ended", "_events", "_gathered", "_rest", "_what", "done")
-
-    def __init__(self, attempt_id: str, what: str) -> None:
+    __slots__ = (
+        "_attempt_id",
+        "_end_event",
+        "_events",
+        "_operation",
+        "_partial_line",
+        "_pending_chunks",
+        "done",
+    )
+
+    def __init__(self, attempt_id: str, operation: str) -> None:
         self._attempt_id = attempt_id
-        self._what = what
-        self._rest = b""
-        self._ended: GenerationEnded | None = None
-        self._gathered: list[_Chunk] = []
+        self._operation = operation
+        self._partial_line = b""
+        self._end_event: GenerationEnded | None = None
+        self._pending_chunks: list[_Chunk] = []
         self._events: list[EngineEvent] = []
         self.done = False
 
     def feed(self, data: bytes) -> None:
-        """Read the lines that *data* completes.
+        """Parse *data* and process the lines that it completes.
 
         Raises:
-            StreamTruncated: The stream's end mark came without its length.
+            StreamTruncated: The end mark arrived before a finish reason with a token count.
         """
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + data).split(b"\n")
+        self._partial_line = lines.pop()
         for line in lines:
             if line.startswith(_DONE):
                 return self._finish()
             if line.startswith(_DATA):
-                self._read(_decode(line[len(_DATA) :], self._what))
+                self._add_chunk(_decode_chunk(line[len(_DATA) :], self._operation))
         return None
 
     def take(self) -> list[EngineEvent]:
-        """Return the events since the last call."""
-        self._join_gathered()
+        """Return the events completed since the last call."""
+        self._merge_pending_chunks()
         events, self._events = self._events, []
         return events
 
-    def _read(self, chunk: _Chunk) -> None:
-        if self._gathered and not _follows(self._gathered[-1], chunk):
-            self._join_gathered()
+    def _add_chunk(self, chunk: _Chunk) -> None:
+        if self._pending_chunks and not _can_merge(self._pending_chunks[-1], chunk):
+            self._merge_pending_chunks()
         if chunk.choices[0].token_ids:
-            self._gathered.append(chunk)
-        self._note_end(chunk)
+            self._pending_chunks.append(chunk)
+        self._record_end(chunk)
 
-    def _join_gathered(self) -> None:
-        if self._gathered:
-            self._events.append(self._tokens(self._gathered))
-            self._gathered = []
+    def _merge_pending_chunks(self) -> None:
+        if self._pending_chunks:
+            self._events.append(self._merge_tokens(self._pending_chunks))
+            self._pending_chunks = []
 
     def _finish(self) -> None:
-        if self._ended is None:
-            raise StreamTruncated(f"{self._what}: the stream ended without its length")
-        self._join_gathered()
-        self._events.append(self._ended)
+        if self._end_event is None:
+            raise StreamTruncated(
+                f"{self._operation}: stream ended without finish reason and token count"
+            )
+        self._merge_pending_chunks()
+        self._events.append(self._end_event)
         self.done = True
 
-    def _note_end(self, chunk: _Chunk) -> None:
+    def _record_end(self, chunk: _Chunk) -> None:
         reason = chunk.choices[0].finish_reason
         if reason is not None and chunk.usage is not None:
-            self._ended = GenerationEnded(
+            self._end_event = GenerationEnded(
                 attempt_id=self._attempt_id,
                 token_count=chunk.usage.completion_tokens,
                 finish_reason=reason,
             )
 
-    def _tokens(self, chunks: list[_Chunk]) -> TokensGenerated:
+    def _merge_tokens(self, chunks: list[_Chunk]) -> TokensGenerated:
         choices = [chunk.choices[0] for chunk in chunks]
         return TokensGenerated(
             attempt_id=self._attempt_id,
@@ -277,31 +289,31 @@
         )
 
 
-def _follows(first: _Chunk, second: _Chunk) -> bool:
-    """Return whether two chunks can be one event; one without tokens never splits an event."""
+def _can_merge(first: _Chunk, second: _Chunk) -> bool:
+    """Return whether two chunks can be merged; a chunk without tokens never splits an event."""
     if not second.choices[0].token_ids:
         return True
     end = first.start + len(first.choices[0].token_ids)
     return second.start == end and second.weight_version == first.weight_version
 
 
-def _decode(data: bytes, what: str) -> _Chunk:
+def _decode_chunk(data: bytes, operation: str) -> _Chunk:
     try:
-        chunk = _CHUNKS.decode(data)
+        chunk = _CHUNK_DECODER.decode(data)
     except msgspec.DecodeError as error:
-        raise BackendServerFailed(f"{what}: undecodable chunk {data[:80]!r}") from error
+        raise BackendServerFailed(f"{operation}: malformed chunk {data[:80]!r}") from error
     if not chunk.choices:
-        raise BackendServerFailed(f"{what}: chunk without a choice {data[:80]!r}")
+        raise BackendServerFailed(f"{operation}: chunk without choices {data[:80]!r}")
     return chunk
 
 
 @ENGINE_ADAPTERS.register("openai-http")
-def _connect(server: BackendServer) -> EngineClient:
+def _create_client(server: BackendServer) -> EngineClient:
     return HttpEngineClient(server)
 
 
 def chunk_payload(event: EngineEvent, model: str) -> dict[str, Any]:
-    """Return the JSON form of an event as an engine of this kind sends it."""
+    """Return the JSON payload with which an engine with this API sends an event."""
     base: dict[str, Any] = {"id": event.attempt_id, "object": "text_completion", "model": model}
     if isinstance(event, TokensGenerated):
         choice = {"index": 0, "text": event.text, "token_ids": event.token_ids}
