--- a/src/verbenawind/plugins/__init__.py
+++ b/src/verbenawind/plugins/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to outside systems; importing this package registers all of them."""
+"""Adapters for external systems; importing this package registers all of them."""
 
 from verbenawind.plugins import (
     backend_clients,
--- a/src/verbenawind/plugins/http_errors.py
+++ b/src/verbenawind/plugins/http_errors.py
@@ -1,4 +1,4 @@
-"""Turns httpx's failures into errors that say truly whether the call may have run."""
+"""Converts httpx exceptions to errors that state whether the call may have been executed."""
 
 import contextlib
 from collections.abc import Iterator
@@ -13,22 +13,22 @@
 
 
 @contextlib.contextmanager
-def backend_errors(what: str) -> Iterator[None]:
-    """Raise BackendServerUnreachable or BackendServerFailed for failures of a backend call."""
+def backend_errors(operation: str) -> Iterator[None]:
+    """Convert httpx exceptions to BackendServerUnreachable or BackendServerFailed."""
     try:
         yield
     except _NOTHING_SENT as error:
-        raise BackendServerUnreachable(f"{what}: {error!r}") from error
+        raise BackendServerUnreachable(f"{operation}: {error!r}") from error
     except (httpx.HTTPError, httpx.StreamError) as error:
-        raise BackendServerFailed(f"{what}: {error!r}") from error
+        raise BackendServerFailed(f"{operation}: {error!r}") from error
 
 
 @contextlib.contextmanager
-def store_errors(what: str) -> Iterator[None]:
-    """Raise StoreUnavailable for failures of a platform call."""
+def store_errors(operation: str) -> Iterator[None]:
+    """Convert httpx exceptions to StoreUnavailable."""
     try:
         yield
     except _NOTHING_SENT as error:
-        raise StoreUnavailable(f"{what}: {error!r}", effect_possible=False) from error
+        raise StoreUnavailable(f"{operation}: {error!r}", effect_possible=False) from error
     except httpx.HTTPError as error:
-        raise StoreUnavailable(f"{what}: {error!r}", effect_possible=True) from error
+        raise StoreUnavailable(f"{operation}: {error!r}", effect_possible=True) from error
--- a/src/verbenawind/plugins/peer_websocket.py
+++ b/src/verbenawind/plugins/peer_websocket.py
@@ -1,4 +1,4 @@
-"""Links between daemons over websockets."""
+"""Links between daemons over WebSockets."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class _Channel:
-    """One websocket; implements the PeerChannel port."""
+    """A link over one WebSocket; implements the PeerChannel port."""
 
     __slots__ = ("_socket",)
 
@@ -46,7 +46,7 @@
 
 
 class WebSocketPeerTransport:
-    """Implements the PeerTransport port."""
+    """Creates links over WebSockets; implements the PeerTransport port."""
 
     __slots__ = ("_servers",)
 
@@ -54,7 +54,7 @@
         self._servers: list[Server] = []
 
     async def listen(self, address: str, accept: Callable[[PeerChannel], Awaitable[None]]) -> str:
-        """Serve links at *address* and return the bound address."""
+        """Accept links at *address* and return the bound address."""
         host, _, port = address.rpartition(":")
 
         async def handle(socket: ServerConnection) -> None:
@@ -84,11 +84,11 @@
                 proxy=None,
             )
         except (OSError, TimeoutError, WebSocketException) as error:
-            raise PeerUnreachable(f"peer {address}: {error!r}") from error
+            raise PeerUnreachable(f"cannot connect to peer {address}: {error!r}") from error
         return _Channel(socket)
 
     async def aclose(self) -> None:
-        """Stop listening and close every link."""
+        """Stop listening and close all links."""
         for server in self._servers:
             server.close()
             await server.wait_closed()
--- a/src/verbenawind/plugins/platform_http.py
+++ b/src/verbenawind/plugins/platform_http.py
@@ -17,7 +17,7 @@
 
 
 class _PlatformClient:
-    """The HTTP connection that the adapters below share the form of."""
+    """Base class of the platform adapters; each instance has its own HTTP client."""
 
     __slots__ = ("_client",)
 
@@ -36,31 +36,33 @@
         content: bytes | None = None,
         params: Mapping[str, str | int] | None = None,
     ) -> httpx.Response:
-        what = f"platform {method} {path}"
-        with store_errors(what):
+        operation = f"platform {method} {path}"
+        with store_errors(operation):
             response = await self._client.request(method, path, content=content, params=params)
         if response.status_code >= httpx.codes.INTERNAL_SERVER_ERROR:
-            raise StoreUnavailable(f"{what}: status {response.status_code}", effect_possible=True)
+            raise StoreUnavailable(
+                f"{operation}: status {response.status_code}", effect_possible=True
+            )
         return response
 
 
 class HttpTableStore(_PlatformClient):
-    """The table service; implements the TableStore port."""
+    """HTTP client of the table service; implements the TableStore port."""
 
     async def read(self, keys: Sequence[str]) -> Mapping[str, Row]:
-        """Return the rows that exist among *keys*."""
+        """Return the existing rows among *keys*."""
         response = await self._call("POST", "/table/read", content=msgspec.json.encode(list(keys)))
         rows = msgspec.json.decode(response.content, type=list[Row])
         return {row.key: row for row in rows}
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
-        """Return rows below *prefix* that sort after *after*."""
+        """Return up to *limit* rows with the key prefix *prefix* after *after*."""
         params: dict[str, str | int] = {"prefix": prefix, "after": after, "limit": limit}
         response = await self._call("GET", "/table/scan", params=params)
         return msgspec.json.decode(response.content, type=list[Row])
 
     async def commit(self, transaction: Transaction) -> None:
-        """Apply a transaction whole or not at all."""
+        """Apply a transaction atomically."""
         content = msgspec.json.encode(transaction)
         response = await self._call("POST", "/table/commit", content=content)
         if response.status_code == _CONFLICT:
@@ -68,36 +70,36 @@
 
 
 class HttpObjectStore(_PlatformClient):
-    """The object store; implements the ObjectStore port."""
+    """HTTP client of the object store; implements the ObjectStore port."""
 
     async def put(self, key: str, data: bytes) -> None:
         """Store *data* under *key*."""
         await self._call("PUT", f"/objects/{key}", content=data)
 
     async def get(self, key: str) -> bytes | None:
-        """Return the object, None when absent."""
+        """Return an object, or None if it does not exist."""
         response = await self._call("GET", f"/objects/{key}")
         return None if response.status_code == httpx.codes.NOT_FOUND else response.content
 
     async def delete(self, key: str) -> None:
-        """Remove an object."""
+        """Delete an object, if it exists."""
         await self._call("DELETE", f"/objects/{key}")
 
 
 class HttpHostList(_PlatformClient):
-    """The host list; implements the HostList port."""
+    """HTTP client of the host list; implements the HostList port."""
 
     async def hosts(self) -> Sequence[HostEntry]:
-        """Return the hosts as the platform sees them."""
+        """Return the hosts known to the platform."""
         response = await self._call("GET", "/hosts")
         return msgspec.json.decode(response.content, type=list[HostEntry])
 
 
 class HttpWeightStore(_PlatformClient):
-    """The weight store; implements the WeightStore port."""
+    """HTTP client of the weight store; implements the WeightStore port."""
 
     async def manifest(self, model: str, version: int) -> WeightManifest | None:
-        """Return a version's manifest, None when the store has none."""
+        """Return the manifest of a version, or None if the store does not have it."""
         response = await self._call("GET", f"/weights/{model}/{version}")
         if response.status_code == httpx.codes.NOT_FOUND:
             return None
--- a/src/verbenawind/plugins/registries.py
+++ b/src/verbenawind/plugins/registries.py
@@ -1,4 +1,4 @@
-"""The registries that adapters of backend servers enter themselves into."""
+"""Registries of the adapters for backend servers."""
 
 from collections.abc import Callable
 
--- a/src/verbenawind/plugins/scoring_http.py
+++ b/src/verbenawind/plugins/scoring_http.py
@@ -13,7 +13,7 @@
 
 
 class HttpScoringClient:
-    """Speaks to one host of a scoring service; implements the ScoringClient port.
+    """HTTP client of one scoring service host; implements the ScoringClient port.
 
     Args:
         server: The host of the scoring service.
@@ -27,17 +27,17 @@
 
     async def score(self, request: ScoringRequest, timeout_s: float) -> ScoringResponse:
         """Return the grade of one sample."""
-        what = f"scoring host {self._server.server_id} sample {request.sample_id}"
-        with backend_errors(what):
+        operation = f"scoring host {self._server.server_id} sample {request.sample_id}"
+        with backend_errors(operation):
             response = await self._client.post(
                 "/score", content=msgspec.json.encode(request), timeout=timeout_s
             )
         if response.status_code != httpx.codes.OK:
-            raise BackendServerFailed(f"{what}: status {response.status_code}")
+            raise BackendServerFailed(f"{operation}: status {response.status_code}")
         try:
             return msgspec.json.decode(response.content, type=ScoringResponse)
         except msgspec.DecodeError as error:
-            raise BackendServerFailed(f"{what}: undecodable answer") from error
+            raise BackendServerFailed(f"{operation}: malformed response") from error
 
     async def aclose(self) -> None:
         """Close the connections."""
@@ -45,5 +45,5 @@
 
 
 @SCORING_ADAPTERS.register("scoring-http")
-def _connect(server: BackendServer) -> ScoringClient:
+def _create_client(server: BackendServer) -> ScoringClient:
     return HttpScoringClient(server)
--- a/src/verbenawind/plugins/service_http.py
+++ b/src/verbenawind/plugins/service_http.py
@@ -16,9 +16,10 @@
 
 
 class HttpServiceClient:
-    """Speaks to one host of a plain service; implements the ServiceClient port.
+    """HTTP client of one plain service host; implements the ServiceClient port.
 
-    A 503 answer with the header ``X-Not-Admitted: true`` is a refusal to start the request.
+    A host refuses to start a request with status 503 and the header ``X-Not-Admitted: true``; the
+    client checks only that the header is present.
 
     Args:
         server: The host of the service.
@@ -35,18 +36,18 @@
         )
 
     async def call(self, request: ServiceRequest) -> ServiceResponse:
-        """Send the request once."""
-        what = f"service host {self._server.server_id} request {request.request_id}"
+        """Send the request once and return the complete response."""
+        operation = f"service host {self._server.server_id} request {request.request_id}"
         headers = dict(request.headers) | {"x-request-id": request.request_id}
         if request.idempotency_key is not None:
             headers["idempotency-key"] = request.idempotency_key
         url = f"{request.path}?{request.query}" if request.query else request.path
-        with backend_errors(what):
+        with backend_errors(operation):
             response = await self._client.request(
                 request.method, url, content=request.body, headers=headers
             )
         if _NOT_ADMITTED_HEADER in response.headers:
-            raise AdmissionRefused(f"{what}: refused")
+            raise AdmissionRefused(f"{operation}: admission refused")
         return ServiceResponse(
             status=response.status_code, headers=dict(response.headers), body=response.content
         )
@@ -57,5 +58,5 @@
 
 
 @SERVICE_ADAPTERS.register("service-http")
-def _connect(server: BackendServer) -> ServiceClient:
+def _create_client(server: BackendServer) -> ServiceClient:
     return HttpServiceClient(server)
--- a/src/verbenawind/plugins/tcp_probe.py
+++ b/src/verbenawind/plugins/tcp_probe.py
@@ -1,4 +1,4 @@
-"""Tells by one TCP connection whether anybody listens at an address."""
+"""Probes an address by opening a TCP connection."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 
 
 class TcpProbe:
-    """Implements the PeerProbe port.
+    """Probes hosts over TCP; implements the PeerProbe port.
 
     Args:
-        timeout_s: How long a host may take.
+        timeout_s: Timeout of a probe, in seconds.
     """
 
     __slots__ = ("_timeout_s",)
@@ -20,7 +20,7 @@
         self._timeout_s = timeout_s
 
     async def connect(self, address: str) -> ProbeResult:
-        """Open a connection and close it again."""
+        """Return the result of opening a connection, which is closed immediately."""
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(self._timeout_s):
@@ -28,7 +28,7 @@
         except ConnectionRefusedError:
             return ProbeResult.REFUSED
         except (OSError, TimeoutError):
-            # Without power, cut off, frozen or overloaded; the caller says so in its log.
+            # The host may be down, partitioned, frozen or overloaded; the caller logs that.
             return ProbeResult.NONE
         writer.close()
         return ProbeResult.ACCEPTED
