--- a/src/verbenawind/rollout/grades.py
+++ b/src/verbenawind/rollout/grades.py
@@ -287,10 +287,8 @@
 def _address(prefix: str, grade: Grade) -> _Address | None:
     if not grade.sample_id.startswith(prefix):
         return None
-    dependencies = grade.sample_id.removeprefix(prefix).split(":")
-    if len(dependencies) != 3 or not all(
-        part.isascii() and part.isdigit() for part in dependencies
-    ):
+    parts = grade.sample_id.removeprefix(prefix).split(":")
+    if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
-    step, group, index = map(int, dependencies)
+    step, group, index = map(int, parts)
     return _Address(step=step, group=group, index=index)
