--- a/src/verbenawind/platform/__init__.py
+++ b/src/verbenawind/platform/__init__.py
@@ -1,1 +1,4 @@
-"""Speaks the users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapters to the deployment platform: its settings file, row formats and HTTP interfaces.
+
+Decisions are made elsewhere; this package only translates.
+"""
--- a/src/verbenawind/platform/batches.py
+++ b/src/verbenawind/platform/batches.py
@@ -1,4 +1,4 @@
-"""The platform's form of batch jobs: submissions and pages of results."""
+"""Decodes batch job submissions and encodes pages of results in the platform's JSON format."""
 
 import base64
 import binascii
@@ -14,7 +14,7 @@
 
 
 class _WireItem(msgspec.Struct, rename="kebab"):
-    """An item; ``tokens`` are its prompt's and the most that it may make."""
+    """An item; ``tokens`` is the sum of its prompt tokens and its limit of generated tokens."""
 
     id: str
     path: str
@@ -25,7 +25,7 @@
 
 
 class _WireJob(msgspec.Struct, rename="kebab"):
-    """A job; ``desired_count`` counts groups, not items."""
+    """A job; ``desired_count`` is a number of groups, not of items."""
 
     items: list[_WireItem]
     step: int = 0
@@ -35,10 +35,10 @@
 
 
 def decode_submission(job_id: str, host: str, path: str, body: bytes) -> BatchSubmission:
-    """Return a job as its caller submitted it.
+    """Decode the body of a job submission.
 
     Raises:
-        InvalidRequest: The body is none.
+        InvalidRequest: The body is not a valid submission.
     """
     try:
         wire = msgspec.json.decode(body, type=_WireJob)
@@ -46,7 +46,7 @@
     except (msgspec.MsgspecError, binascii.Error) as error:
         raise InvalidRequest(f"job {job_id}: {error}") from error
     if len({item.item_id for item in items}) < len(items):
-        raise InvalidRequest(f"job {job_id}: two items have one id")
+        raise InvalidRequest(f"job {job_id}: item ids are not unique")
     return BatchSubmission(
         job_id=job_id,
         host=host,
@@ -60,7 +60,7 @@
 
 
 def encode_page(page: ResultsPage, after: int) -> bytes:
-    """Return a page of results from a position on."""
+    """Encode a page of results that starts at position *after*."""
     return msgspec.json.encode(
         {
             "total": page.total,
--- a/src/verbenawind/platform/configuration.py
+++ b/src/verbenawind/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator and the engines write into the platform's store."""
+"""Decodes the store rows that operators, trainers and backend servers write."""
 
 import math
 from collections.abc import Mapping
@@ -26,7 +26,7 @@
 _VERSION_KEY_PREFIX = "version/"
 _MS = 1000.0
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAMING,
@@ -36,7 +36,7 @@
 
 
 class _Wire(msgspec.Struct, frozen=True, kw_only=True, rename="kebab"):
-    """A record of the platform; fields that are not named here are left alone."""
+    """A JSON record of the platform; unknown fields are ignored."""
 
 
 class _Share(_Wire, frozen=True, kw_only=True):
@@ -57,7 +57,7 @@
     weighted_services: list[_Share] = []
     resumable: bool = False
     single_version: bool = False
-    # Both count from the first submission of a batch job.
+    # Both are measured from the first submission of a batch job.
     result_deadline_ms: float = 0
     retention_s: float = 0
 
@@ -67,7 +67,7 @@
 
 
 class _Engine(_Wire, frozen=True, kw_only=True):
-    # Requests that run at once, not connections.
+    # The number of concurrent requests, not of connections.
     slots: int
     models: list[_EngineModel] = []
 
@@ -81,9 +81,9 @@
 class _Limits(_Wire, frozen=True, kw_only=True):
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 32 * 1024 * 1024
-    # How long a request's head may take to arrive.
+    # The time limit for receiving a request's head.
     header_timeout_ms: float = 3000
-    # How long a connection may rest between requests.
+    # How long a connection may be idle between requests.
     idle_timeout_ms: float = 15000
 
 
@@ -96,7 +96,8 @@
 
 class _LoadedModel(_Wire, frozen=True, kw_only=True):
     name: str
-    # Of the model's weights; an entry's own field of this name is of its software.
+    # The version of the weights; the field of this name in the server's own record is the version
+    # of its software and is not read.
     version: int
 
 
@@ -106,7 +107,7 @@
     zone: str
     slots: int
     state: Literal["ready", "draining"]
-    # Unix time in ms at which this incarnation started.
+    # Start time of the server's current incarnation, in Unix milliseconds.
     born: int = 0
     models: list[_LoadedModel] = []
 
@@ -130,7 +131,7 @@
         self._region_of_zone = region_of_zone
 
     def operator_row(self, key: str, value: bytes) -> GatewayConfiguration | NamedVersion | None:
-        """Return the configuration, or the version that a trainer names."""
+        """Decode a configuration or a trainer's version; None for other keys."""
         if key == _CONFIGURATION_KEY:
             return decode_configuration(value)
         if not key.startswith(_VERSION_KEY_PREFIX):
@@ -139,21 +140,21 @@
         return NamedVersion(model=wire.model, version=wire.version)
 
     def instance(self, instance_id: str, value: bytes) -> Instance | None:
-        """Return a backend server's entry, None where it names none that can be used."""
+        """Decode a backend server's registration; None if it is unusable."""
         return decode_instance(instance_id, value, self._region_of_zone)
 
 
 def decode_configuration(value: bytes) -> GatewayConfiguration:
-    """Return the operator's configuration.
+    """Decode the operator's configuration; routes of an unknown kind are ignored.
 
     Raises:
-        msgspec.MsgspecError: The value is none.
+        msgspec.MsgspecError: The value is not a valid configuration.
     """
     wire = msgspec.json.decode(value, type=_Configuration)
     limits = wire.limits
     return GatewayConfiguration(
         version=wire.version,
-        routes=tuple(_route(route) for route in wire.routes if route.kind in _KINDS),
+        routes=tuple(_route(route) for route in wire.routes if route.kind in _ROUTE_KINDS),
         services={service.name: _service(service) for service in wire.services},
         limits=IngressLimits(
             max_header_bytes=limits.max_header_bytes,
@@ -167,10 +168,10 @@
 def decode_instance(
     instance_id: str, value: bytes, region_of_zone: Mapping[str, str]
 ) -> Instance | None:
-    """Return a backend server's entry, or None where it is not one that can be used."""
+    """Decode a backend server's registration; return None if it is malformed or unusable."""
     try:
         raw: Any = msgspec.json.decode(value)
-        wire = msgspec.convert(_whole_numbers(raw), _Server)
+        wire = msgspec.convert(_integral_floats_to_int(raw), _Server)
     except msgspec.MsgspecError:
         return None
     host, _, port = wire.address.rpartition(":")
@@ -200,7 +201,7 @@
         name=wire.name,
         host=wire.host.lower(),
         path_prefix=wire.path_prefix,
-        kind=_KINDS[wire.kind],
+        kind=_ROUTE_KINDS[wire.kind],
         timeout_s=wire.timeout_ms / _MS if wire.timeout_ms else math.inf,
         target_latency_s=wire.target_latency_ms / _MS,
         max_attempts=max(1, wire.max_attempts),
@@ -222,12 +223,15 @@
     return Service(name=wire.name, max_connections=wire.max_connections, engine=engine)
 
 
-def _whole_numbers(raw: Any) -> Any:
-    """Read numbers such as 5.0 as whole ones."""
+def _integral_floats_to_int(raw: Any) -> Any:
+    """Convert floats without a fractional part, such as 5.0, to integers, recursively.
+
+    Some writers encode integers with a decimal point.
+    """
     if isinstance(raw, dict):
-        return {key: _whole_numbers(value) for key, value in raw.items()}
+        return {key: _integral_floats_to_int(value) for key, value in raw.items()}
     if isinstance(raw, list):
-        return [_whole_numbers(value) for value in raw]
+        return [_integral_floats_to_int(value) for value in raw]
     if isinstance(raw, float) and raw.is_integer():
         return int(raw)
     return raw
--- a/src/verbenawind/platform/names.py
+++ b/src/verbenawind/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's spelling of headers, calls and tables."""
+"""Names of the platform's HTTP headers and store tables."""
 
 __all__ = [
     "ATTEMPT_HEADER",
@@ -15,9 +15,10 @@
     "WAIT_HEADER",
 ]
 
-# Despite its name it identifies a caller's attempt, not one of ours at an engine.
+# Despite its name, this identifies the caller's request, not one of this host's attempts at a
+# backend server.
 ATTEMPT_HEADER = "X-Verbenawind-Attempt-Id"
-# A duration, not a moment: what is left of the caller's patience.
+# A duration, not a point in time: how long the caller still waits, in milliseconds.
 DEADLINE_HEADER = "X-Verbenawind-Deadline-Ms"
 EXPECT_INSTANCE_HEADER = "X-Verbenawind-Expect-Instance"
 EXPECT_VERSION_HEADER = "X-Verbenawind-Expect-Version"
@@ -25,7 +26,7 @@
 LAST_EVENT_HEADER = "Last-Event-Id"
 NOT_RUN_HEADER = "X-Verbenawind-Not-Executed"
 SIGNATURE_HEADER = "X-Verbenawind-Server-Stamp"
-# One version, in spite of the plural.
+# Holds a single version, despite the plural.
 VERSION_HEADER = "X-Verbenawind-Weight-Versions"
 WAIT_HEADER = "X-Verbenawind-Wait-Ms"
 
--- a/src/verbenawind/platform/settings.py
+++ b/src/verbenawind/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays before each process."""
+"""The settings file that the platform provides to each process."""
 
 import os
 import tomllib
@@ -18,13 +18,13 @@
 
 
 class _Section(msgspec.Struct, frozen=True, kw_only=True, rename="kebab"):
-    """A table of the file; keys that are not named here are left alone."""
+    """A table of the settings file; unknown keys are ignored."""
 
 
 class _Listen(_Section, frozen=True, kw_only=True):
-    # Where callers connect.
+    # The address that callers connect to.
     front: str
-    # Where the balancer asks whether this host takes callers.
+    # The address of the load balancer's readiness check.
     ready: str
 
 
@@ -34,15 +34,15 @@
 
 
 class _Bounds(_Section, frozen=True, kw_only=True):
-    # How long after an order another holder may not order the same engine.
+    # After an order, how long no other lease holder may give orders to the same engine.
     lease_ms: float = 3000
     # How long a process has between SIGTERM and SIGKILL.
     grace_s: float = 8
-    # How long an engine that leaves goes on serving after it said so.
+    # How long an engine keeps serving after it has announced that it is leaving.
     drain_ms: float = 2500
-    # How long a batch job may be read after its submission.
+    # How long after its submission a batch job can be read.
     status_s: float = 120
-    # Whether engines check who orders them.
+    # Whether engines check the fencing token of an order.
     fencing_required: bool = False
 
 
@@ -54,15 +54,16 @@
     internal_ports: tuple[int, int]
     listen: _Listen
     platform: _Platform
-    # Zones by name, with their regions.
+    # The region of each availability zone.
     zones: dict[str, str] = {}
     bounds: _Bounds = _Bounds()
 
 
 class HostSettings(Value, frozen=True, kw_only=True):
-    """What one daemon knows before it asks the platform.
+    """The settings of one daemon, read before it contacts the platform.
 
-    Addresses are ``IP:port``; ``region_of_zone`` places backend servers.
+    Addresses are ``IP:port``. ``region_of_zone`` gives the region of a backend server, whose
+    registration names only its zone.
     """
 
     host_name: str
@@ -80,17 +81,17 @@
 
 
 def load_host_settings(path: str | None = None) -> HostSettings:
-    """Return the checked settings of this process.
+    """Load and validate the settings of this process.
 
     Args:
-        path: The file; the environment names it where this is None.
+        path: The settings file; by default the path in ``VERBENAWIND_SETTINGS``.
 
     Raises:
-        SettingsInvalid: The file cannot be read or has faults; all of them are listed.
+        SettingsInvalid: The file cannot be read or is invalid; all faults are listed.
     """
     name = path or os.environ.get(_PATH_VARIABLE, "")
     if not name:
-        raise SettingsInvalid(f"no settings file: {_PATH_VARIABLE} is not set")
+        raise SettingsInvalid(f"no settings file given: {_PATH_VARIABLE} is not set")
     try:
         text = Path(name).read_text(encoding="utf-8")
     except OSError as error:
@@ -99,10 +100,10 @@
 
 
 def parse_host_settings(text: str) -> HostSettings:
-    """Return the checked settings in *text*.
+    """Parse and validate settings in TOML.
 
     Raises:
-        SettingsInvalid: The text is no TOML or has faults; all of them are listed.
+        SettingsInvalid: The text is not TOML or is invalid; all faults are listed.
     """
     try:
         raw: dict[str, Any] = tomllib.loads(text)
@@ -114,8 +115,8 @@
     first, last = file.internal_ports
     if last <= first:
         raise SettingsInvalid(
-            f"$.internal-ports: two ports are needed, one for peers and one for metrics, "
-            f"and {first} to {last} has one"
+            f"$.internal-ports: at least two ports are needed, one for peers and one for "
+            f"metrics; {first} to {last} is too few"
         )
     return HostSettings(
         host_name=file.node_name,
