--- a/src/verbenawind/platform/backends.py
+++ b/src/verbenawind/platform/backends.py
@@ -1,4 +1,4 @@
-"""Speaks to the platform's backend servers: requests, streams, orders and reports."""
+"""HTTP client for the platform's backend servers: requests, streams, load orders and reports."""
 
 import asyncio
 from collections.abc import Sequence
@@ -25,13 +25,13 @@
 
 __all__ = ["HttpAnswer", "HttpBackends"]
 
-# The engine has another instance at this address, or other weights than expected.
-_MISDIRECTED = 421
+# The server at this address is another instance, or has other weights than expected.
+_MISDIRECTED_REQUEST = 421
 _MS = 1000
 _ORDER_PATH = "/api/order"
 
-# Headers of one connection, and those that a send sets itself.
-_OWN_HEADERS = frozenset(
+# Headers that are set anew for each send and are not copied from the caller's request.
+_REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
         ATTEMPT_HEADER,
@@ -42,10 +42,10 @@
     )
 )
 
-_MODES = {
-    # Runs go on under the new weights.
+_SWAP_MODE_NAMES = {
+    # Generations in progress continue with the new weights.
     SwapMode.IN_PLACE: "retain",
-    # The name misleads: runs finish first, nothing polls.
+    # Despite the name nothing is polled: generations in progress finish before the load.
     SwapMode.DRAIN: "long_poll",
 }
 
@@ -63,37 +63,43 @@
 
     @property
     def refused(self) -> bool:
-        """Whether the server states that it did not run the request."""
-        return self._response.header(NOT_RUN_HEADER) is not None or self.status == _MISDIRECTED
+        """Whether the server reports that it did not run the request."""
+        return (
+            self._response.header(NOT_RUN_HEADER) is not None or self.status == _MISDIRECTED_REQUEST
+        )
 
     @property
     def signed(self) -> bool:
-        """Whether the response bears the server's own mark."""
+        """Whether the response has the header that backend servers add to their own responses."""
         return self._response.header(SIGNATURE_HEADER) is not None
 
     @property
     def version(self) -> int | None:
-        """The weight version that the response began with."""
+        """The weight version at the start of the response, None if it is not given."""
         value = self._response.header(VERSION_HEADER)
         return int(value) if value is not None and value.isdigit() else None
 
     async def chunk(self) -> bytes:
-        """Return the next bytes of the body, or nothing at its end."""
+        """Return the next chunk of the body, empty at its end."""
         return await self._response.chunk()
 
     async def events(self) -> Sequence[StreamEvent] | None:
-        """Return the next whole events, or None after the last one."""
+        """Return the next complete events, or None after the last one.
+
+        Raises:
+            BackendServerFailed: The stream ended in the middle of an event.
+        """
         while True:
             data = await self._response.chunk()
             if not data:
                 if self._reader.pending:
-                    raise BackendServerFailed("the stream ended within an event")
+                    raise BackendServerFailed("the stream ended in the middle of an event")
                 return None
             if events := self._reader.feed(data):
                 return events
 
     def close(self) -> None:
-        """Give the response up, so that the server stops its work."""
+        """Close the connection, so that the server stops working on the request."""
         self._response.close()
 
 
@@ -103,7 +109,10 @@
 
 
 class _WireReport(msgspec.Struct, rename="kebab"):
-    """An engine's report, some hundred ms old; ``busy`` means that an order is under way."""
+    """An engine's report, which may be a few hundred ms old.
+
+    ``busy`` is true while the engine carries out a load order; ``seq`` counts accepted orders.
+    """
 
     models: list[_WireModel] = []
     busy: bool = False
@@ -113,12 +122,12 @@
 
 
 class HttpBackends:
-    """Sends requests and orders to backend servers over HTTP.
+    """Sends requests and load orders to backend servers over HTTP.
 
     Args:
-        client: Connections.
+        client: HTTP client.
         clock: Time source.
-        holder: The name that orders are given under.
+        holder: Name of this host as the lease holder in load orders.
     """
 
     __slots__ = ("_client", "_clock", "_holder")
@@ -129,11 +138,15 @@
         self._holder = holder
 
     async def send(self, instance: Instance, attempt: Attempt) -> HttpAnswer:
-        """Return the server's response once its head has arrived."""
+        """Send a request and return the response once its head has arrived."""
         request = attempt.request
         headers = [
             ("Host", request.host),
-            *((name, value) for name, value in request.headers if name.lower() not in _OWN_HEADERS),
+            *(
+                (name, value)
+                for name, value in request.headers
+                if name.lower() not in _REPLACED_HEADERS
+            ),
             (ATTEMPT_HEADER, request.request_id),
             (DEADLINE_HEADER, str(max(1, int(attempt.remaining_s * _MS)))),
             (EXPECT_INSTANCE_HEADER, instance.instance_id),
@@ -161,12 +174,16 @@
         return HttpAnswer(response)
 
     async def order(self, instance: Instance, order: LoadOrder, timeout_s: float) -> OrderReply:
-        """Have an engine load a version; an answer that is lost leaves the outcome open."""
+        """Order an engine to load a version.
+
+        The answer is UNREACHABLE if the order was not sent, and UNKNOWN if no response arrived
+        after it may have been.
+        """
         body = {
             "op-type": "version",
             "model": order.model,
             "version": order.version,
-            "mode": _MODES[order.mode],
+            "mode": _SWAP_MODE_NAMES[order.mode],
             "holder": self._holder,
             "fencing-token": order.fencing_number,
         }
@@ -195,12 +212,12 @@
                 response.close()
             return OrderReply(answer=OrderAnswer.UNKNOWN, detail=repr(error))
         return OrderReply(
-            answer=_ORDER_ANSWERS.get(response.status, OrderAnswer.REFUSED),
+            answer=_ANSWER_BY_STATUS.get(response.status, OrderAnswer.REFUSED),
             detail=str(response.status),
         )
 
     async def report(self, instance: Instance, timeout_s: float) -> EngineReport | None:
-        """Return an engine's report, None where it gave none."""
+        """Fetch an engine's report; None if the engine gave no valid one in time."""
         request = Http1Request(
             method="GET",
             target="/api/report",
@@ -230,7 +247,7 @@
         )
 
 
-_ORDER_ANSWERS = {
+_ANSWER_BY_STATUS = {
     200: OrderAnswer.HOLDS,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.BUSY,
