--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -21,8 +21,8 @@
 from verbenawind.metrics import Metrics
 from verbenawind.node import Node, NodeSettings
 from verbenawind.platform.backends import HttpBackends
+from verbenawind.platform.caller_app import CallerApp
 from verbenawind.platform.configuration import PlatformRegistry
-from verbenawind.platform.front import Front
 from verbenawind.platform.settings import HostSettings, load_host_settings
 from verbenawind.platform.store import PlatformStore
 from verbenawind.plugins.http1_client import Http1Client
@@ -107,8 +107,8 @@
             rng=rng,
             timings=self.metrics,
         )
-        self.store.via = RelayClient(self._transport, self.node.peer_addresses, clock, rng)
-        self.front = Front(
+        self.store.relay_client = RelayClient(self._transport, self.node.peer_addresses, clock, rng)
+        self.caller_app = CallerApp(
             routes=lambda: self.node.routes,
             informed=lambda: self.node.informed,
             forwarder=self.node.forwarder,
@@ -120,8 +120,8 @@
         self._servers = [
             self._server(
                 settings.callers_address,
-                self.front,
-                keep_alive_s=lambda: self.front.limits.idle_timeout_s,
+                self.caller_app,
+                keep_alive_s=lambda: self.caller_app.limits.idle_timeout_s,
             ),
             self._server(settings.ready_address, self._answer_ready),
             self._server(settings.metrics_address, self._answer_metrics),
@@ -145,7 +145,7 @@
     async def stop(self) -> None:
         """Give up jobs and the lease at once, serve on until callers are gone, then end."""
         started_s = self._clock.monotonic_s()
-        self.front.draining = True
+        self.caller_app.draining = True
         self._log.info("stopping", grace_s=self.settings.stop_grace_s)
         await self.node.hand_over()
         left_s = _UNREADY_S - (self._clock.monotonic_s() - started_s)
--- a/src/verbenawind/platform/exchange.py
+++ b/src/verbenawind/platform/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer to it, over ASGI."""
+"""An HTTP request and its response over ASGI."""
 
 import math
 from collections.abc import Awaitable, Callable, Iterable, MutableMapping
@@ -6,16 +6,16 @@
 
 from verbenawind.errors import CallerDisconnected, TooLarge
 
-__all__ = ["Exchange", "Receive", "Scope", "Send", "end_to_end"]
+__all__ = ["Exchange", "Receive", "Scope", "Send", "end_to_end_headers"]
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
-# A body that is too large is read and dropped up to this multiple of the limit.
+# A body that is too large is read and discarded up to this multiple of the limit.
 _DISCARD_FACTOR = 4
-# Headers that concern one connection only.
-_HOP_HEADERS = frozenset(
+# Headers that apply to a single connection, and those that the HTTP stack sets itself.
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -34,19 +34,20 @@
 
 
 class Exchange:
-    """One caller's request and the answer to it.
+    """A caller's request and the response to it.
 
     Args:
-        scope: The request's head.
-        receive: Gives its body, and tells when the caller leaves.
-        send: Takes the answer.
+        scope: The ASGI scope of the request.
+        receive: Receives the request body and the caller's disconnect.
+        send: Sends the response.
+        arrived_s: Monotonic time at which the request arrived.
     """
 
     __slots__ = (
         "_receive",
         "_send",
         "arrived_s",
-        "closing",
+        "close_connection",
         "headers",
         "host",
         "method",
@@ -61,7 +62,7 @@
         self._send = send
         self.arrived_s = arrived_s
         self.started = False
-        self.closing = False
+        self.close_connection = False
         self.method: str = scope["method"]
         self.headers = [
             (name.decode("latin-1"), value.decode("latin-1")) for name, value in scope["headers"]
@@ -74,79 +75,80 @@
         self.target = f"{self.path}?{self.query}" if query else self.path
 
     def header(self, name: str) -> str | None:
-        """Return the first header of a name."""
-        wanted = name.lower()
-        return next((value for key, value in self.headers if key == wanted), None)
+        """Return the first value of a header, None if it is absent."""
+        lower_name = name.lower()
+        return next((value for key, value in self.headers if key == lower_name), None)
 
-    def number(self, name: str) -> float | None:
-        """Return the number in a header, None where there is none."""
+    def float_header(self, name: str) -> float | None:
+        """Return a header's value as a finite number, None if it is absent or not one."""
         try:
             value = float(self.header(name) or "")
         except ValueError:
             return None
         return value if math.isfinite(value) else None
 
-    async def body(self, max_bytes: int) -> bytes:
+    async def read_body(self, max_bytes: int) -> bytes:
         """Return the request's body.
 
         Raises:
-            TooLarge: It is longer than *max_bytes*.
-            CallerDisconnected: The caller left before it was whole.
+            TooLarge: The body is longer than *max_bytes*.
+            CallerDisconnected: The caller disconnected before the body was complete.
         """
         parts: list[bytes] = []
         size_bytes = 0
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise CallerDisconnected("the caller left before its request was whole")
+                raise CallerDisconnected("the caller disconnected before the body was complete")
             data = message.get("body", b"")
             size_bytes += len(data)
             if size_bytes <= max_bytes:
                 parts.append(data)
             ended = not message.get("more_body", False)
-            # A caller that still sends when its connection closes may never see the answer.
+            # If the connection is closed while the caller is still sending, the caller may never
+            # read the response. Hence the body is read to its end, within bounds.
             if size_bytes > max_bytes and (ended or size_bytes > _DISCARD_FACTOR * max_bytes):
-                raise TooLarge(f"a body may have {max_bytes} bytes")
+                raise TooLarge(f"the request body exceeds the limit of {max_bytes} bytes")
             if ended:
                 return b"".join(parts)
 
-    async def gone(self) -> None:
-        """Return once the caller has left."""
+    async def wait_for_disconnect(self) -> None:
+        """Return once the caller has disconnected."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
     async def start(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the answer's head."""
+        """Send the response's status and headers."""
         self.started = True
         raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
-        if self.closing:
+        if self.close_connection:
             raw.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": raw})
 
     async def write(self, data: bytes, *, last: bool = False) -> None:
-        """Send a stretch of the answer's body."""
+        """Send a chunk of the response's body."""
         await self._send({"type": "http.response.body", "body": data, "more_body": not last})
 
-    async def answer(
+    async def respond(
         self, status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = ()
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = () if self.method == "HEAD" else (("Content-Length", str(len(body))),)
         await self.start(status, [*headers, *length])
         await self.write(body, last=True)
 
 
-def end_to_end(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the headers that do not concern one connection only."""
-    listed = list(headers)
-    named = {
+def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+    """Return *headers* without hop-by-hop headers, which are not forwarded."""
+    all_headers = list(headers)
+    connection_options = {
         part.strip().lower()
-        for name, value in listed
+        for name, value in all_headers
         if name.lower() == "connection"
         for part in value.split(",")
     }
     return tuple(
         (name, value)
-        for name, value in listed
-        if name.lower() not in _HOP_HEADERS and name.lower() not in named
+        for name, value in all_headers
+        if name.lower() not in _HOP_BY_HOP_HEADERS and name.lower() not in connection_options
     )
