--- a/src/verbenawind/daemon.py
+++ b/src/verbenawind/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its composition root, its life, and the program ``verbenawindd``."""
+"""The daemon: its composition root, start and shutdown, and the program ``verbenawindd``."""
 
 import asyncio
 import signal
@@ -40,16 +40,16 @@
 __all__ = ["Core", "Daemon", "connect_outside", "run"]
 
 _EXIT_SETTINGS_INVALID = 2
-_FIRST_VIEW_S = 3.0
+_INITIAL_VIEW_TIMEOUT_S = 3.0
 _SETTINGS = flags.DEFINE_string("settings", None, "Path of the settings file.")
 
 
 class Core:
-    """The composition root: one daemon's parts without its HTTP server.
+    """The composition root: all components of a daemon except its HTTP server.
 
     Args:
         settings: The daemon's settings.
-        outside: Everything outside the daemon.
+        outside: Adapters to external systems.
     """
 
     def __init__(self, settings: DaemonSettings, outside: Outside) -> None:
@@ -124,14 +124,14 @@
             clock=clock,
             rng=rng,
         )
-        self.metrics.on_render(self._collect)
+        self.metrics.on_render(self._update_gauges)
         self._ready = False
         self._tasks: list[asyncio.Task[None]] = []
         self._log = structlog.get_logger("daemon")
 
     @property
     def ready(self) -> bool:
-        """Whether the daemon takes new work."""
+        """Whether the daemon accepts new work."""
         return self._ready and self.configuration.informed and not self.peers.superseded
 
     @ready.setter
@@ -139,10 +139,10 @@
         self._ready = ready
 
     async def start(self) -> None:
-        """Begin working; the daemon is ready once it has a view of the configuration."""
+        """Start the background tasks; the daemon is ready once it has read the configuration."""
         self.configuration.subscribe(self.rollouts.apply)
         await self.peers.start()
-        await self._first_view()
+        await self._read_initial_view()
         for name, work in (
             ("watcher", self.watcher.run),
             ("weights", self.weights.run),
@@ -152,18 +152,21 @@
             self._tasks.append(asyncio.get_running_loop().create_task(supervised))
         self.ready = True
 
-    async def _first_view(self) -> None:
-        """Ask the platform, but start without its answer when it is slow: peers may know."""
+    async def _read_initial_view(self) -> None:
+        """Read the configuration and the servers, waiting for a limited time.
+
+        A slow platform does not delay the start further, since peers may have the configuration.
+        """
         loop = asyncio.get_running_loop()
-        asked = [
+        reads = [
             loop.create_task(self._refresh_configuration()),
             loop.create_task(self.watcher.refresh()),
         ]
-        self._tasks += asked
-        await asyncio.wait(asked, timeout=_FIRST_VIEW_S)
+        self._tasks += reads
+        await asyncio.wait(reads, timeout=_INITIAL_VIEW_TIMEOUT_S)
 
     async def stop(self) -> None:
-        """Give back leases and stop working."""
+        """Stop all work and release the leases."""
         self.ready = False
         await self.rollouts.stop()
         await self._cancel_tasks()
@@ -172,7 +175,7 @@
         await self.peers.stop()
 
     async def kill(self) -> None:
-        """Stop at once without telling anybody, as a crash would."""
+        """Stop immediately without releasing leases or notifying peers, as in a crash."""
         self.ready = False
         self.leases.abandon()
         self.weights.abandon()
@@ -180,17 +183,17 @@
         await self.rollouts.kill()
         await self._cancel_tasks()
 
-    def _collect(self) -> None:
-        """Take in what routing counted by itself."""
+    def _update_gauges(self) -> None:
+        """Update the gauges from the dispatcher's counts."""
         stats = self.dispatcher.stats
         for name, value, help_text in (
-            ("engine_choices", stats.choices, "Choices of an engine so far."),
+            ("engine_choices", stats.choices, "Engine choices."),
             (
                 "engine_choices_by_prefix",
                 stats.first_preference_choices,
-                "Those that followed the prefix.",
+                "Engine choices that followed the prefix preference.",
             ),
-            ("attempt_retries", stats.retries, "Attempts that were retried so far."),
+            ("attempt_retries", stats.retries, "Retried attempts."),
         ):
             self.metrics.set_value(name, help_text, value)
 
@@ -207,11 +210,11 @@
 
 
 class Daemon:
-    """A core behind its HTTP server.
+    """A core and its HTTP server.
 
     Args:
         settings: The daemon's settings.
-        outside: Everything outside the daemon.
+        outside: Adapters to external systems.
     """
 
     def __init__(self, settings: DaemonSettings, outside: Outside) -> None:
@@ -251,7 +254,7 @@
         return self._server.address
 
     async def start(self) -> None:
-        """Start the core, then serve."""
+        """Start the core, then the HTTP server."""
         record_decisions_in(self.core.decisions)
         await self.core.start()
         if self._recording is not None:
@@ -259,7 +262,7 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Become unready, let every request in flight end, then stop."""
+        """Become unready, let requests in flight finish, then stop."""
         self.core.ready = False
         await self.core.outside.clock.sleep(self.core.settings.unready_grace_s)
         self._guard.draining = True
@@ -270,7 +273,7 @@
             self._recording.close()
 
     async def kill(self) -> None:
-        """Die at once, as a crash would."""
+        """Stop immediately, as in a crash."""
         await self.core.kill()
         await self._server.kill()
 
@@ -291,7 +294,7 @@
 
 
 def connect_outside(settings: DaemonSettings) -> Outside:
-    """Return the adapters to everything outside, as the settings name them."""
+    """Create the adapters to the external systems named in the settings."""
     url = settings.platform_url
     return Outside(
         clock=SystemClock(),
@@ -306,7 +309,7 @@
 
 
 async def serve(settings: DaemonSettings) -> None:
-    """Run a daemon until SIGTERM or SIGINT asks for a graceful shutdown."""
+    """Run a daemon until SIGTERM or SIGINT, then shut it down gracefully."""
     daemon = Daemon(settings, connect_outside(settings))
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -328,7 +331,7 @@
 
 
 def run() -> None:
-    """Run the program ``verbenawindd``."""
+    """Entry point of ``verbenawindd``."""
     flags.mark_flag_as_required("settings")
     absl_app.run(_main)
 
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -1,7 +1,8 @@
-"""What one host runs over a row store and registered backend servers: gateway, batches, orders.
+"""Composition root of one host: gateway, batch jobs and load orders.
 
-This is the composition root of these parts; it speaks no HTTP. ``platform/`` puts it behind the
-platform's protocols, tests and the fault soak behind stand-ins.
+A node works on a row store and registered backend servers through ports and contains no HTTP code.
+``platform/`` connects it to the platform's protocols; tests and the fault soak connect it to
+stand-ins.
 """
 
 import asyncio
@@ -49,47 +50,47 @@
 __all__ = ["NamedVersion", "Node", "NodeSettings", "RegistryFormat"]
 
 _LEASE_KEY = "lease/orders"
-# Hosts beyond this rank all wait equally long before they contend for the lease.
+# Hosts beyond this rank all have the same delay before they contend for the lease.
 _RANKED_HOSTS = 8
-_HAND_OVER_S = 1.5
-# Jobs change rarely, and a new one should begin soon.
+_HAND_OVER_TIMEOUT_S = 1.5
+# Short, since jobs change rarely and a new one should start soon.
 _JOBS_PAUSE_S = 0.05
-# Only jobs that are younger tell how far behind the newest version a trainer is when it asks;
-# versions that are named later make older jobs look further behind.
+# Only jobs younger than this are used to measure how many versions behind a trainer submits jobs:
+# versions published after a submission make the job look further behind.
 _NEW_JOB_S = 1.0
-# A silent host is noticed by a feed that answers often.
+# Short, since a host that has stopped sending heartbeats is only noticed when the feed responds.
 _HOSTS_WAIT_S = 0.5
 
 
 class NamedVersion(Value, frozen=True, kw_only=True):
-    """The newest weights of a model, as its trainer names them."""
+    """The newest weight version of a model, as published by its trainer."""
 
     model: str
     version: int
 
 
 class RegistryFormat(Protocol):
-    """Decodes the rows that operators, trainers and backend servers write."""
+    """Port that decodes the rows written by operators, trainers and backend servers."""
 
     operator_table: str
     servers_table: str
 
     def operator_row(self, key: str, value: bytes) -> GatewayConfiguration | NamedVersion | None:
-        """Return what a row says, None where it is of no concern.
+        """Decode a configuration or a published version; return None for other rows.
 
         Raises:
-            msgspec.MsgspecError: The row cannot be read.
+            msgspec.MsgspecError: The row is malformed.
         """
 
     def instance(self, instance_id: str, value: bytes) -> Instance | None:
-        """Return a backend server's entry, None where it names none that can be used."""
+        """Decode a backend server's registration; return None if it is unusable."""
 
 
 class NodeSettings(Value, frozen=True, kw_only=True):
-    """What the parts need to know of this host.
+    """Settings of this host.
 
-    ``order_gap_s`` is how far apart orders of two holders must be; ``job_status_s`` for how long
-    a job may be read after its submission.
+    ``order_gap_s`` is the minimum time between load orders of two lease holders; ``job_status_s``
+    is how long after its submission a job can be read.
     """
 
     host: str
@@ -101,20 +102,20 @@
 
 
 class Node:
-    """Wires the parts of one host.
+    """Creates and connects the components of one host.
 
     Args:
-        settings: This host.
-        store: The row store, and its clock.
-        store_ms: The store's clock in milliseconds.
+        settings: Settings of this host.
+        store: The row store.
+        store_ms: Returns the store's clock in milliseconds.
         backends: Sends requests to backend servers.
-        orders: Gives orders to engines.
+        orders: Sends load orders to engines.
         registry: Decodes rows of other writers.
-        probe: Asks other hosts whether their daemon is there.
+        probe: Checks whether the daemon of another host accepts connections.
         clock: Time source.
-        boot_s: Time that also passes while the host is suspended.
-        rng: Jitter.
-        timings: Takes in measured durations.
+        boot_s: Returns a monotonic time that includes suspension of the host.
+        rng: Random number generator for jitter.
+        timings: Records measured durations.
     """
 
     def __init__(
@@ -144,16 +145,20 @@
         self.routes: RouteTable | None = None
         self.newest: dict[str, int] = {}
 
-        self.operator_feed = self._follower(registry.operator_table, self._take_operator_row)
-        self.servers_feed = self._follower(registry.servers_table, self._take_server_row)
-        self.hosts_feed = self._follower(HOSTS_TABLE, self._take_host_row, wait_s=_HOSTS_WAIT_S)
-        self.jobs_feed = self._follower(
-            JOBS_TABLE, self._take_job_row, partitioned=True, pause_s=_JOBS_PAUSE_S
+        self.operator_feed = self._create_follower(
+            registry.operator_table, self._apply_operator_row
+        )
+        self.servers_feed = self._create_follower(registry.servers_table, self._apply_server_row)
+        self.hosts_feed = self._create_follower(
+            HOSTS_TABLE, self._apply_host_row, wait_s=_HOSTS_WAIT_S
+        )
+        self.jobs_feed = self._create_follower(
+            JOBS_TABLE, self._apply_job_row, partitioned=True, pause_s=_JOBS_PAUSE_S
         )
 
         self.directory = Directory(clock)
         self.servers_feed.on_response(self.directory.feed_recovered)
-        beat = HostHeartbeat(
+        heartbeat = HostHeartbeat(
             host=settings.host,
             incarnation=new_id("run").removeprefix("run-"),
             address=settings.peer_address,
@@ -163,7 +168,7 @@
         self.job_registry = JobRegistry(clock)
         job_store = JobStore(store, settings.max_row_bytes)
         self.runner = BatchRunner(
-            owner=beat.owner_id,
+            owner=heartbeat.owner_id,
             job_store=job_store,
             job_registry=self.job_registry,
             directory=self.directory,
@@ -182,7 +187,7 @@
         )
         self.beats = HostHeartbeats(
             store,
-            beat,
+            heartbeat,
             clock=clock,
             rng=rng,
             busy=lambda: self.runner.busy,
@@ -196,7 +201,7 @@
         self.sweeper = JobSweeper(
             self.job_registry,
             job_store,
-            is_assigned=self._sweeps,
+            is_assigned=self._is_sweeper_of,
             store_ms=store_ms,
             retention_s=settings.job_status_s,
             clock=clock,
@@ -207,7 +212,7 @@
         self.lease = RowLease(
             store,
             RowId(table=HOSTS_TABLE, key=_LEASE_KEY),
-            beat.owner_id,
+            heartbeat.owner_id,
             act_gap_s=settings.order_gap_s,
             clock=clock,
             boot_s=boot_s,
@@ -222,11 +227,11 @@
             self.lease,
             configuration=lambda: self.routes.configuration if self.routes else None,
             newest=self.newest,
-            needed=self._needed_version,
+            needed=self._required_version,
             timings=timings,
             clock=clock,
         )
-        self.job_registry.on_change(self._job_changed)
+        self.job_registry.on_change(self._on_job_change)
         self.forwarder = Forwarder(self.directory, backends, settings.location, clock)
         self.streams = StreamForwarder(self.directory, backends, settings.location, clock)
 
@@ -237,11 +242,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this host should be given new callers."""
+        """Whether the load balancer should send new callers to this host."""
         return not self._stopping and self.informed and self.jobs_feed.informed
 
     def start(self) -> None:
-        """Begin to work; the node is ready once it knows the configuration."""
+        """Start the background tasks.
+
+        The node is ready once it has read the configuration, the servers and the batch jobs.
+        """
         for name, work in (
             ("operator_feed", self.operator_feed.run),
             ("servers_feed", self.servers_feed.run),
@@ -258,29 +266,29 @@
             self._tasks.append(asyncio.get_running_loop().create_task(supervised))
 
     async def hand_over(self) -> None:
-        """Give jobs and the lease up at once; requests go on being served."""
+        """Release the lease and hand over the jobs; requests are still served afterwards."""
         self._stopping = True
         self.job_takeover.paused = True
         await asyncio.gather(
             self.lease.release(),
-            self.runner.hand_over(_HAND_OVER_S),
+            self.runner.hand_over(_HAND_OVER_TIMEOUT_S),
             self.beats.beat(leaving=True),
         )
 
     def kill(self) -> None:
-        """Stop at once, as a process that dies does."""
+        """Stop immediately, as in a crash of the process."""
         self._stopping = True
         for task in self._tasks:
             task.cancel()
         self.runner.abandon()
 
     def peer_addresses(self) -> Sequence[str]:
-        """Return where other hosts relay store calls."""
-        return [beat.address for beat in self.beats.others()]
+        """Return the addresses of other hosts, which can relay store calls."""
+        return [heartbeat.address for heartbeat in self.beats.others()]
 
-    # Rows of the store.
+    # Store feeds.
 
-    def _follower(
+    def _create_follower(
         self,
         table: str,
         listener: Callable[[StoredRow], None],
@@ -300,35 +308,35 @@
             wait_s=wait_s,
         )
 
-    def _take_operator_row(self, row: StoredRow) -> None:
+    def _apply_operator_row(self, row: StoredRow) -> None:
         if row.value is None:
             return
         try:
-            said = self._registry.operator_row(row.row_id.key, row.value)
+            decoded = self._registry.operator_row(row.row_id.key, row.value)
         except msgspec.MsgspecError as error:
             self._log.error("operator_row_unreadable", key=row.row_id.key, error=str(error))
             return
-        if isinstance(said, GatewayConfiguration):
-            self._configure(said)
-        elif said is not None and said.version > self.newest.get(said.model, 1):
-            self.newest[said.model] = said.version
-            self._log.info("version_named", model=said.model, version=said.version)
+        if isinstance(decoded, GatewayConfiguration):
+            self._apply_configuration(decoded)
+        elif decoded is not None and decoded.version > self.newest.get(decoded.model, 1):
+            self.newest[decoded.model] = decoded.version
+            self._log.info("version_named", model=decoded.model, version=decoded.version)
             self.load_scheduler.wake()
 
-    def _configure(self, configuration: GatewayConfiguration) -> None:
-        known = self.routes.configuration.version if self.routes is not None else None
-        if known is not None and configuration.version <= known:
+    def _apply_configuration(self, configuration: GatewayConfiguration) -> None:
+        current_version = self.routes.configuration.version if self.routes is not None else None
+        if current_version is not None and configuration.version <= current_version:
             return
         self.routes = RouteTable(configuration)
         self._log.info(
             "configuration_in_force",
             version=configuration.version,
-            former_version=known,
+            former_version=current_version,
             routes=len(configuration.routes),
             services=len(configuration.services),
         )
 
-    def _take_server_row(self, row: StoredRow) -> None:
+    def _apply_server_row(self, row: StoredRow) -> None:
         instance_id = row.row_id.key
         if row.value is None:
             self.directory.remove(instance_id)
@@ -340,36 +348,36 @@
         self.directory.put(instance)
         self.load_scheduler.wake()
 
-    def _take_host_row(self, row: StoredRow) -> None:
+    def _apply_host_row(self, row: StoredRow) -> None:
         if row.row_id.key == _LEASE_KEY:
             self.lease.apply_row(row)
         else:
             self.beats.apply_row(row)
 
-    def _take_job_row(self, row: StoredRow) -> None:
+    def _apply_job_row(self, row: StoredRow) -> None:
         self.job_registry.apply_row(row)
 
-    def _job_changed(self, job: StoredJob) -> None:
+    def _on_job_change(self, job: StoredJob) -> None:
         record = job.record
         is_new = record.age_s(self._store_ms()) < _NEW_JOB_S
         if record.model and record.state is JobState.OPEN and is_new:
             self.load_scheduler.record_lag(record.model, record.min_version)
         self.load_scheduler.wake()
 
-    # Questions of the parts.
+    # Callbacks of the components.
 
-    def _sweeps(self, job_id: str) -> bool:
+    def _is_sweeper_of(self, job_id: str) -> bool:
         return top(job_id, self.beats.claimants([]), 1) == [self._settings.host]
 
     def _lease_rank(self) -> int:
-        order = top(_LEASE_KEY, self.beats.claimants([]), _RANKED_HOSTS)
+        ranking = top(_LEASE_KEY, self.beats.claimants([]), _RANKED_HOSTS)
         host = self._settings.host
-        return order.index(host) if host in order else _RANKED_HOSTS
+        return ranking.index(host) if host in ranking else _RANKED_HOSTS
 
-    def _needed_version(self, model: str) -> int:
-        needed = [
-            known.record.min_version
-            for known in self.job_registry.open_jobs()
-            if known.record.model == model
+    def _required_version(self, model: str) -> int:
+        required = [
+            job.record.min_version
+            for job in self.job_registry.open_jobs()
+            if job.record.model == model
         ]
-        return max(needed, default=0)
+        return max(required, default=0)
--- a/src/verbenawind/platform/__main__.py
+++ b/src/verbenawind/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon on the platform: ``python -m verbenawind.platform``."""
+"""Runs the platform daemon: ``python -m verbenawind.platform``."""
 
 from verbenawind.platform.daemon import run
 
--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on the platform: its composition root and its life."""
+"""The platform daemon: its composition root, start and shutdown."""
 
 import asyncio
 import contextlib
@@ -33,24 +33,24 @@
 __all__ = ["PlatformDaemon", "run"]
 
 _EXIT_SETTINGS_INVALID = 2
-# A direct store call that takes longer is tried through a peer.
+# Timeout of a direct store call, after which the call is relayed by a peer.
 _DIRECT_TIMEOUT_S = 0.7
 _STORE_CONNECT_TIMEOUT_S = 0.4
 _BACKEND_CONNECT_TIMEOUT_S = 0.4
-# A refusal comes within a round trip.
+# A refused connection is reported within one round trip.
 _PROBE_TIMEOUT_S = 0.3
-# The balancer sends new connections until it has missed two answers, a second apart each.
-_UNREADY_S = 3.2
-# What is left of the platform's grace for the exit itself.
+# The load balancer sends new connections until two readiness checks, one second apart, have failed.
+_UNREADY_NOTICE_S = 3.2
+# The part of the platform's grace period that is reserved for the exit of the process.
 _EXIT_MARGIN_S = 0.8
-_HEAD_BYTES = 256 * 1024
+_MAX_HEAD_BYTES = 256 * 1024
 _WRITE_TIMEOUT_S = 20.0
 
 _SETTINGS = flags.DEFINE_string(
-    "host_settings", None, "Path of the settings file; the environment names it otherwise."
+    "host_settings", None, "Path of the settings file; default is $VERBENAWIND_SETTINGS."
 )
 _LOG_LEVEL = flags.DEFINE_enum(
-    "log_level", "info", ["debug", "info", "warning", "error"], "The least level that is written."
+    "log_level", "info", ["debug", "info", "warning", "error"], "Minimum level of log lines."
 )
 
 Scope = MutableMapping[str, Any]
@@ -59,13 +59,13 @@
 
 
 class PlatformDaemon:
-    """Wires every part; each host runs one.
+    """Creates and connects the components of the daemon; each host runs one.
 
     Args:
         settings: This host's settings.
         clock: Time source.
-        rng: Jitter.
-        log_counts: Log lines that were not written.
+        rng: Random number generator for jitter.
+        log_counts: Counts of log lines that were not written, for the metrics.
     """
 
     def __init__(
@@ -118,18 +118,21 @@
             clock=clock,
         )
         self._servers = [
-            self._server(
+            self._create_server(
                 settings.callers_address,
                 self.caller_app,
                 keep_alive_s=lambda: self.caller_app.limits.idle_timeout_s,
             ),
-            self._server(settings.ready_address, self._answer_ready),
-            self._server(settings.metrics_address, self._answer_metrics),
+            self._create_server(settings.ready_address, self._serve_readiness),
+            self._create_server(settings.metrics_address, self._serve_metrics),
         ]
-        self.metrics.on_render(self._collect)
+        self.metrics.on_render(self._update_gauges)
 
     async def start(self) -> None:
-        """Serve, then learn; the daemon is ready once it knows the configuration."""
+        """Start serving, then read the store.
+
+        The daemon is ready once it has read the configuration, the servers and the batch jobs.
+        """
         await self._transport.listen(self.settings.peer_address, self._relay_server.serve)
         for server in self._servers:
             await server.start()
@@ -143,31 +146,35 @@
         )
 
     async def stop(self) -> None:
-        """Give up jobs and the lease at once, serve on until callers are gone, then end."""
+        """Release jobs and the lease, keep serving until callers have disconnected, then stop.
+
+        Requests are served for at least the time in which the load balancer notices that the daemon
+        is not ready, and at most until shortly before the platform's grace period ends.
+        """
         started_s = self._clock.monotonic_s()
         self.caller_app.draining = True
         self._log.info("stopping", grace_s=self.settings.stop_grace_s)
         await self.node.hand_over()
-        left_s = _UNREADY_S - (self._clock.monotonic_s() - started_s)
-        await self._clock.sleep(max(0.0, left_s))
-        left_s = self.settings.stop_grace_s - _EXIT_MARGIN_S
-        left_s -= self._clock.monotonic_s() - started_s
+        remaining_s = _UNREADY_NOTICE_S - (self._clock.monotonic_s() - started_s)
+        await self._clock.sleep(max(0.0, remaining_s))
+        remaining_s = self.settings.stop_grace_s - _EXIT_MARGIN_S
+        remaining_s -= self._clock.monotonic_s() - started_s
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(0.1, left_s)):
+            async with asyncio.timeout(max(0.1, remaining_s)):
                 await self._servers[0].stop()
         self.node.kill()
         self._log.info("stopped", took_s=round(self._clock.monotonic_s() - started_s, 2))
 
     async def kill(self) -> None:
-        """Die at once, as a crash would."""
+        """Stop immediately, as in a crash."""
         self.node.kill()
         for server in self._servers:
             await server.kill()
         await self._transport.aclose()
 
-    # HTTP besides the callers'.
+    # HTTP servers, readiness and metrics.
 
-    def _server(
+    def _create_server(
         self,
         address: str,
         app: Any,
@@ -181,82 +188,107 @@
             int(port),
             write_timeout_s=_WRITE_TIMEOUT_S,
             keep_alive_s=keep_alive_s,
-            max_head_bytes=_HEAD_BYTES,
+            max_head_bytes=_MAX_HEAD_BYTES,
         )
 
-    async def _answer_ready(self, _scope: Scope, _receive: Receive, send: Send) -> None:
-        await _answer(send, 200 if self.node.ready else 503, b"", "text/plain")
+    async def _serve_readiness(self, _scope: Scope, _receive: Receive, send: Send) -> None:
+        await _send_response(send, 200 if self.node.ready else 503, b"", "text/plain")
 
-    async def _answer_metrics(self, _scope: Scope, _receive: Receive, send: Send) -> None:
+    async def _serve_metrics(self, _scope: Scope, _receive: Receive, send: Send) -> None:
         body, content_type = self.metrics.render(())
-        await _answer(send, 200, body, content_type)
+        await _send_response(send, 200, body, content_type)
 
-    def _collect(self) -> None:
-        """Take in what the parts counted by themselves."""
-        put = self.metrics.set_value
+    def _update_gauges(self) -> None:
+        """Update the gauges from the components' own counts."""
+        set_gauge = self.metrics.set_value
         for name, count in self.store.calls.items():
             call, _, outcome = name.partition(" ")
-            put("store_calls", "Calls of the store.", count, call=call, outcome=outcome)
+            set_gauge(
+                "store_calls",
+                "Store calls, by call and outcome.",
+                count,
+                call=call,
+                outcome=outcome,
+            )
         for end, count in self.node.runner.counts.runs.items():
-            put("item_runs", "Runs of batch items, by how they ended.", count, end=end.value)
+            set_gauge("item_runs", "Runs of batch items, by outcome.", count, end=end.value)
         for answer, count in self.node.load_scheduler.counts.answers.items():
-            put("orders", "Orders to engines, by their answer.", count, answer=answer)
+            set_gauge("orders", "Load orders to engines, by answer.", count, answer=answer)
         for feed in ("operator", "servers", "hosts", "jobs"):
             age_s = getattr(self.node, f"{feed}_feed").age_s()
-            put("feed_age_seconds", "Time since a feed was heard.", age_s, feed=feed)
-        self._collect_servers()
-        put("jobs_owned", "Open jobs that are run here.", len(self.node.runner.jobs))
-        put("results_listed", "Results listed here.", self.node.runner.results_listed)
-        put(
-            "job_takeovers", "Jobs taken over from other daemons.", self.node.job_takeover.takeovers
+            set_gauge(
+                "feed_age_seconds", "Time since the last response of a feed.", age_s, feed=feed
+            )
+        self._update_server_gauges()
+        set_gauge("jobs_owned", "Open batch jobs owned by this daemon.", len(self.node.runner.jobs))
+        set_gauge(
+            "results_listed",
+            "Batch results listed by this daemon.",
+            self.node.runner.results_listed,
+        )
+        set_gauge(
+            "job_takeovers",
+            "Batch jobs taken over from other daemons.",
+            self.node.job_takeover.takeovers,
         )
-        put("relayed_calls", "Store calls made for peers.", self._relay_server.relayed)
-        put(
+        set_gauge("relayed_calls", "Store calls relayed for peers.", self._relay_server.relayed)
+        set_gauge(
             "backend_connections_opened",
-            "Connections to backend servers.",
+            "Connections opened to backend servers.",
             self._backend_client.opened,
         )
-        put(
-            "lease_held", "Whether this daemon may order engines.", float(self.node.lease.epoch > 0)
+        set_gauge(
+            "lease_held",
+            "Whether this daemon holds the lease for load orders.",
+            float(self.node.lease.epoch > 0),
         )
-        put(
+        set_gauge(
             "configuration_version",
-            "The configuration in force.",
+            "Version of the configuration in force, 0 if there is none.",
             self.node.routes.configuration.version if self.node.routes else 0,
         )
         if self._log_counts is not None:
-            put("log_lines_dropped", "Log lines without a reader.", self._log_counts.dropped)
+            set_gauge(
+                "log_lines_dropped",
+                "Log lines dropped because the output was blocked or closed.",
+                self._log_counts.dropped,
+            )
             for event, count in self._log_counts.omitted.items():
-                put("log_lines_omitted", "Log lines beyond their rate.", count, event=event)
+                set_gauge(
+                    "log_lines_omitted",
+                    "Log lines omitted by the rate limit, by event.",
+                    count,
+                    event=event,
+                )
 
-    def _collect_servers(self) -> None:
-        """Count the servers by what is believed of them, and how old that is."""
-        put = self.metrics.set_value
+    def _update_server_gauges(self) -> None:
+        """Update the gauges of servers by state, contact age and weight versions."""
+        set_gauge = self.metrics.set_value
         servers = list(self.node.directory.all())
         beliefs = Counter((server.instance.service, server.belief) for server in servers)
         for service in {server.instance.service for server in servers}:
             for belief in ServerState:
                 count = beliefs[service, belief]
-                help_text = "Registered servers, by what this daemon believes of them."
-                put("servers", help_text, count, service=service, belief=belief.value)
-            put(
+                help_text = "Registered servers, by the state that this daemon has recorded."
+                set_gauge("servers", help_text, count, service=service, belief=belief.value)
+            set_gauge(
                 "server_belief_age_seconds",
-                "The longest time for which nothing was heard of a server of the service.",
+                "Longest time since the last contact with a server of the service.",
                 max(s.last_contact_age_s for s in servers if s.instance.service == service),
                 service=service,
             )
         for model, newest in self.node.newest.items():
-            held = [server.versions[model] for server in servers if model in server.versions]
-            put("version_named", "The newest named weights.", newest, model=model)
-            put(
+            loaded = [server.versions[model] for server in servers if model in server.versions]
+            set_gauge("version_named", "Newest published weight version.", newest, model=model)
+            set_gauge(
                 "server_versions_behind",
-                "Versions by which the servers of a model are behind, all together.",
-                sum(max(0, newest - version) for version in held),
+                "Versions by which servers are behind the newest, summed over a model's servers.",
+                sum(max(0, newest - version) for version in loaded),
                 model=model,
             )
 
 
-async def _answer(send: Send, status: int, body: bytes, content_type: str) -> None:
+async def _send_response(send: Send, status: int, body: bytes, content_type: str) -> None:
     headers = [
         (b"content-type", content_type.encode()),
         (b"content-length", str(len(body)).encode()),
@@ -266,7 +298,10 @@
 
 
 async def serve(settings: HostSettings, log_counts: LogCounts) -> None:
-    """Run a daemon until SIGTERM or SIGINT asks for a graceful stop."""
+    """Run a daemon until SIGTERM or SIGINT, then stop it gracefully.
+
+    SIGHUP reads the settings file again and logs the differences.
+    """
     daemon = PlatformDaemon(settings, SystemClock(), Random(), log_counts)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -279,17 +314,20 @@
 
 
 def _reload(settings: HostSettings) -> None:
-    """Read the settings again and say what a restart would change; nothing else is open to it."""
+    """Read the settings file again and log which settings a restart would change.
+
+    Settings are only applied at the start.
+    """
     log = structlog.get_logger("daemon")
     try:
-        read = load_host_settings(_SETTINGS.value)
+        reread = load_host_settings(_SETTINGS.value)
     except SettingsInvalid as error:
         log.error("settings_not_reloaded", reason=error.message)
         return
     changed = [
         name
         for name in settings.__struct_fields__
-        if getattr(read, name) != getattr(settings, name)
+        if getattr(reread, name) != getattr(settings, name)
     ]
     log.info("settings_reloaded", changed_until_restart=changed)
 
@@ -306,5 +344,5 @@
 
 
 def run() -> None:
-    """Run the program ``verbenawind-platformd``."""
+    """Entry point of ``verbenawind-platformd``."""
     absl_app.run(_main)
