--- a/src/verbenawind/http_server.py
+++ b/src/verbenawind/http_server.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI application with uvicorn inside a running event loop."""
+"""Runs uvicorn inside an existing event loop, with limits on connections and on slow callers."""
 
 import asyncio
 import contextlib
@@ -23,31 +23,35 @@
 _MAX_HEAD_BYTES = 32 * 1024
 
 
-class _QuietServer(uvicorn.Server):
-    """A uvicorn server that leaves the process's signal handlers alone."""
+class _EmbeddedServer(uvicorn.Server):
+    """A uvicorn server that does not replace the process's signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Install no handlers; the daemon has its own."""
+        """Install no signal handlers; the daemon installs its own."""
         yield
 
 
 class _Connection(h11.Connection):
-    """Remembers the status that fits a protocol error, and refuses ambiguous framing."""
+    """An h11 connection that keeps the status of a protocol error and rejects ambiguous framing."""
 
     def __init__(self, role: Any, max_incomplete_event_size: int | None) -> None:
         super().__init__(role, max_incomplete_event_size or _MAX_HEAD_BYTES)
         self.error_status = 400
 
     def next_event(self) -> Any:
-        """Return the next event; a request with two lengths of its body is malformed."""
+        """Return the next event.
+
+        A request with both a Content-Length and a Transfer-Encoding is rejected, since its framing
+        is ambiguous.
+        """
         try:
             event = super().next_event()
             if isinstance(event, h11.Request):
                 names = {name for name, _ in event.headers}
                 if {b"content-length", b"transfer-encoding"} <= names:
                     raise h11.RemoteProtocolError(
-                        "a request has either a Content-Length or a Transfer-Encoding"
+                        "a request must not have both Content-Length and Transfer-Encoding"
                     )
         except h11.RemoteProtocolError as error:
             self.error_status = error.error_status_hint
@@ -56,7 +60,7 @@
 
 
 class _Protocol(H11Protocol):
-    """Limits connections, closes those that send or read too slowly, and answers in JSON."""
+    """HTTP/1.1 protocol with a connection limit, head and write timeouts, and errors in JSON."""
 
     def __init__(
         self,
@@ -77,57 +81,63 @@
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Give the first request head its time; refuse what comes beyond the limit."""
+        """Start the timer of the first request head; refuse connections beyond the limit."""
         super().connection_made(transport)  # type: ignore[arg-type]
         if self._max_connections is not None and len(self.connections) > self._max_connections:
             self.app = _refuse_connection
-        self._head_timer = self.loop.call_later(self._header_timeout_s, self._head_is_late)
+        self._head_timer = self.loop.call_later(self._header_timeout_s, self._on_head_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Give each request head its time."""
+        """Start the timer of a request head, and stop it once the head is complete."""
         if self._head_timer is None and (self.cycle is None or self.cycle.response_complete):
-            self._head_timer = self.loop.call_later(self._header_timeout_s, self._head_is_late)
-        known = self.cycle
+            self._head_timer = self.loop.call_later(self._header_timeout_s, self._on_head_timeout)
+        previous_cycle = self.cycle
         super().data_received(data)
-        if self.cycle is not known:
-            self._stop_head_timer()
+        if self.cycle is not previous_cycle:
+            self._cancel_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the timers."""
-        self._stop_head_timer()
-        self._stop_write_timer()
+        """Cancel the timers."""
+        self._cancel_head_timer()
+        self._cancel_write_timer()
         super().connection_lost(exc)
 
     def on_response_complete(self) -> None:
-        """Keep the connection for as long as the limits in force say."""
+        """Set the keep-alive timeout, which may have changed, from the limits in force."""
         if self._keep_alive_s is not None:
             self.timeout_keep_alive = math.ceil(self._keep_alive_s())
         super().on_response_complete()
 
     def pause_writing(self) -> None:
-        """Give a reader that is behind its time; its answer holds a backend server."""
+        """Start the write timeout: a slow reader keeps a backend server occupied."""
         super().pause_writing()
         self._write_timer = self.loop.call_later(self._write_timeout_s, self.transport.abort)
 
     def resume_writing(self) -> None:
-        """Forget that the reader was behind."""
-        self._stop_write_timer()
+        """Cancel the write timeout."""
+        self._cancel_write_timer()
         super().resume_writing()
 
     def send_400_response(self, msg: str) -> None:
-        """Answer malformed HTTP with the body that every error has."""
+        """Respond to malformed HTTP with the JSON body of all errors."""
         if cast(_Connection, self.conn).error_status == _HEADERS_TOO_LARGE:
-            self._answer(_HEADERS_TOO_LARGE, "headers_too_large", "the request's head is too large")
+            self._send_error_response(
+                _HEADERS_TOO_LARGE, "headers_too_large", "the request head is too large"
+            )
         else:
-            self._answer(400, "invalid_request", msg)
+            self._send_error_response(400, "invalid_request", msg)
 
-    def _head_is_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if self.cycle is None or self.cycle.response_complete:
             limit_s = self._header_timeout_s
-            self._answer(408, "request_timeout", f"no whole request head within {limit_s} seconds")
+            self._send_error_response(
+                408,
+                "request_timeout",
+                f"the request head was not complete within {limit_s} seconds",
+            )
 
-    def _answer(self, status: int, code: str, message: str) -> None:
+    def _send_error_response(self, status: int, code: str, message: str) -> None:
         body = _error_body(code, "invalid_request_error", message)
         headers = [
             (b"content-type", b"application/json"),
@@ -143,19 +153,19 @@
                 self.transport.write(self.conn.send(event) or b"")
         self.transport.close()
 
-    def _stop_write_timer(self) -> None:
+    def _cancel_write_timer(self) -> None:
         if self._write_timer is not None:
             self._write_timer.cancel()
             self._write_timer = None
 
-    def _stop_head_timer(self) -> None:
+    def _cancel_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
 
 async def _refuse_connection(_scope: Any, _receive: Any, send: Any) -> None:
-    body = _error_body("overloaded", "server_error", "too many connections are open")
+    body = _error_body("overloaded", "server_error", "too many open connections")
     headers = [
         (b"content-type", b"application/json"),
         (b"content-length", str(len(body)).encode()),
@@ -166,23 +176,23 @@
     await send({"type": "http.response.body", "body": body, "more_body": False})
 
 
-def _error_body(code: str, kind: str, message: str) -> bytes:
-    error = {"message": message, "code": code, "type": kind, "outcome": Outcome.NOT_RUN}
+def _error_body(code: str, error_type: str, message: str) -> bytes:
+    error = {"message": message, "code": code, "type": error_type, "outcome": Outcome.NOT_RUN}
     return msgspec.json.encode({"error": error})
 
 
 class HttpServer:
-    """One listening HTTP server.
+    """A listening HTTP server.
 
     Args:
         app: The ASGI application.
-        host: IP number to listen on.
-        port: TCP port, 0 for one that the kernel chooses.
-        max_connections: Connections beyond this number are answered 503.
-        header_timeout_s: A connection without a whole request head by then is closed.
-        write_timeout_s: A connection whose reader takes nothing for so long is closed.
-        keep_alive_s: How long a connection may rest between requests; asked after each one.
-        max_head_bytes: A request line and headers beyond this size are refused.
+        host: IP address to listen on.
+        port: TCP port; 0 lets the kernel choose one.
+        max_connections: Requests on connections beyond this number get status 503.
+        header_timeout_s: Time limit for receiving a request head.
+        write_timeout_s: A connection is closed if the caller reads nothing for this long.
+        keep_alive_s: Returns the idle timeout of connections; called after each response.
+        max_head_bytes: Size limit of the request line and headers.
     """
 
     __slots__ = ("_server", "_socket", "_task")
@@ -199,7 +209,7 @@
         keep_alive_s: Callable[[], float] | None = None,
         max_head_bytes: int = _MAX_HEAD_BYTES,
     ) -> None:
-        # asyncio switches Nagle's algorithm off only for sockets that name their protocol.
+        # asyncio sets TCP_NODELAY only on sockets that are created with IPPROTO_TCP.
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((host, port))
@@ -223,17 +233,17 @@
             server_header=False,
             proxy_headers=False,
         )
-        self._server = _QuietServer(config)
+        self._server = _EmbeddedServer(config)
         self._task: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> str:
-        """The bound address as ``IP:port``."""
+        """The address that the socket is bound to, as ``IP:port``."""
         host, port = self._socket.getsockname()
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Start serving and return once connections are accepted."""
+        """Start the server; return once it accepts connections."""
         self._socket.listen(1024)
         serve = self._server.serve(sockets=[self._socket])
         self._task = asyncio.get_running_loop().create_task(serve)
@@ -243,13 +253,13 @@
             await asyncio.sleep(_START_POLL_S)
 
     async def stop(self) -> None:
-        """Stop accepting connections, let every request end, then close."""
+        """Stop accepting connections, wait for requests in flight, then close."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
 
     async def kill(self) -> None:
-        """Close at once without waiting for requests."""
+        """Close immediately, without waiting for requests in flight."""
         self._server.should_exit = True
         self._server.force_exit = True
         if self._task is not None:
