--- a/src/verbenawind/logs.py
+++ b/src/verbenawind/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: JSON lines, or a console form on a terminal."""
+"""Configures structured logging: JSON lines, or a console format on a terminal."""
 
 import logging
 import sys
@@ -15,11 +15,11 @@
 
 
 class LogCounts:
-    """Counts log lines that were not written.
+    """Counts of log lines that were not written.
 
     Args:
-        output: Counts lines that found no reader.
-        limiter: Counts lines beyond the rate of their event.
+        output: Counts lines dropped because the output was blocked or closed.
+        limiter: Counts lines omitted by the rate limit.
     """
 
     __slots__ = ("_limiter", "_output")
@@ -30,26 +30,26 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that found no reader."""
+        """Number of lines dropped because the output was blocked or closed."""
         return self._output.dropped
 
     @property
     def omitted(self) -> Mapping[str, int]:
-        """Lines beyond the rate of their event, by event."""
+        """Number of lines omitted by the rate limit, by event."""
         return self._limiter.omitted
 
     def drain(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write queued lines, as far as the output accepts them."""
         self._output.drain()
 
 
 def configure_logs(level: str, **context: str) -> LogCounts:
     """Write log lines of *level* and above to standard output, each with *context*.
 
-    Lines of level info are kept for ``explain`` even where *level* writes fewer.
+    Lines of level info and above are recorded for ``explain`` even if *level* is higher.
 
     Returns:
-        What was dropped or left out, for the metrics.
+        Counts of dropped and omitted lines, for the metrics.
     """
     output = NonBlockingOutput(sys.stdout.fileno())
     limiter = LineLimiter(time.monotonic)
@@ -73,7 +73,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(min(threshold, logging.INFO)),
         logger_factory=structlog.WriteLoggerFactory(cast(TextIO, output)),
     )
-    # Libraries log through the standard library, where each HTTP call is a line of level INFO.
+    # HTTP libraries log each call at level INFO through the logging module.
     logging.getLogger().setLevel(logging.WARNING)
     structlog.contextvars.bind_contextvars(**context)
     _redirect_libraries(max(threshold, logging.WARNING), renderer, output)
@@ -83,7 +83,7 @@
 def _redirect_libraries(
     threshold: int, renderer: structlog.typing.Processor, output: NonBlockingOutput
 ) -> None:
-    """Write what libraries log through the standard module in the same form."""
+    """Write lines that libraries log through the logging module in the same format."""
     formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.contextvars.merge_contextvars,
@@ -102,7 +102,7 @@
 
 
 class _LevelFilter:
-    """Drops lines below a level; a structlog processor."""
+    """A structlog processor that drops lines below a level."""
 
     __slots__ = ("_threshold",)
 
@@ -112,7 +112,7 @@
     def __call__(
         self, _logger: Any, _method: str, line: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Return the line, or drop it."""
+        """Return the line, or drop it if its level is too low."""
         if logging.getLevelNamesMapping()[str(line["level"]).upper()] < self._threshold:
             raise structlog.DropEvent
         return line
