--- a/src/verbenawind/adapter_names.py
+++ b/src/verbenawind/adapter_names.py
@@ -1,4 +1,4 @@
-"""The names of adapters that documents may use."""
+"""The names of the adapters that environment documents can refer to."""
 
 from verbenawind.document import KnownAdapters
 from verbenawind.plugins.registries import ENGINE_ADAPTERS, SCORING_ADAPTERS, SERVICE_ADAPTERS
@@ -7,8 +7,8 @@
 
 
 def known_adapters() -> KnownAdapters:
-    """Return the names of every adapter that is registered."""
-    import verbenawind.plugins  # noqa: F401  # Its adapters register themselves on import.
+    """Return the names of all registered adapters."""
+    import verbenawind.plugins  # noqa: F401  # The adapters register themselves on import.
 
     return KnownAdapters(
         engines=ENGINE_ADAPTERS.names(),
--- a/src/verbenawind/clock.py
+++ b/src/verbenawind/clock.py
@@ -1,4 +1,4 @@
-"""The clock interface through which every part of the system reads time."""
+"""The clock interface, through which all components read time."""
 
 import asyncio
 import time
@@ -40,16 +40,16 @@
 
 
 def boot_time_s() -> float:
-    """Return seconds since the host started, those for which it was suspended included."""
+    """Return seconds since the host booted, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LoopClock:
-    """The running event loop's clock, so that a virtual-time loop also moves wall-clock time.
+    """A clock based on the running event loop, so that a virtual-time loop advances both times.
 
     Args:
-        epoch: Wall-clock time at which the loop's time reads zero.
-        skew_s: Constant added to the wall clock, in seconds.
+        epoch: Wall-clock time at loop time zero.
+        skew_s: Constant offset of the wall clock, in seconds.
     """
 
     __slots__ = ("_epoch", "skew_s")
--- a/src/verbenawind/decisions.py
+++ b/src/verbenawind/decisions.py
@@ -1,4 +1,4 @@
-"""A bounded record of the latest decision lines, by request, for ``explain``."""
+"""Bounded in-memory record of recent log lines by request, for the ``explain`` command."""
 
 from collections import OrderedDict
 from collections.abc import MutableMapping, Sequence
@@ -14,10 +14,10 @@
 
 
 class DecisionRecord:
-    """Keeps the log lines of the latest requests; the oldest request is dropped first.
+    """Keeps the log lines of recent requests and evicts the oldest request first.
 
     Args:
-        max_requests: How many requests are kept.
+        max_requests: Maximum number of requests that are kept.
     """
 
     __slots__ = ("_lines", "_max_requests")
@@ -27,7 +27,7 @@
         self._lines: OrderedDict[str, list[bytes]] = OrderedDict()
 
     def add(self, request_id: str, line: MutableMapping[str, Any]) -> None:
-        """Keep one line of a request."""
+        """Record a line of a request, up to a limit of lines per request."""
         lines = self._lines.get(request_id)
         if lines is None:
             lines = self._lines[request_id] = []
@@ -37,19 +37,19 @@
             lines.append(msgspec.json.encode(line, enc_hook=str))
 
     def lines(self, request_id: str) -> Sequence[dict[str, Any]]:
-        """Return the kept lines of a request, oldest first."""
+        """Return the recorded lines of a request, oldest first."""
         return [msgspec.json.decode(line) for line in self._lines.get(request_id, ())]
 
 
 def record_decisions_in(record: DecisionRecord) -> None:
-    """Keep the lines of the current context, and of tasks it starts from now on, in *record*."""
+    """Record the lines of the current context, and of tasks started from it later, in *record*."""
     _RECORD.set(record)
 
 
 def keep_decisions(
     _logger: Any, _method: str, line: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    """Keep each line that names a request; a structlog processor."""
+    """Record each line that has a request id; a structlog processor."""
     record = _RECORD.get()
     request_id = line.get("request_id")
     if record is not None and isinstance(request_id, str):
--- a/src/verbenawind/errors.py
+++ b/src/verbenawind/errors.py
@@ -1,4 +1,4 @@
-"""Errors with a stable code, the outcome of the request they end, and when to come back."""
+"""Exceptions with a stable error code, the request's outcome and an optional retry delay."""
 
 from collections.abc import Mapping, Sequence
 from enum import StrEnum
@@ -46,7 +46,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of a failed request's execution."""
+    """What is known about the execution of a failed request."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -54,12 +54,12 @@
 
 
 class VerbenawindError(Exception):
-    """The base of every error that the package raises on purpose.
+    """Base class of the exceptions that the package raises deliberately.
 
     Args:
-        message: What failed, naming the thing and the value.
-        outcome: What is known of the request's execution.
-        retry_after_s: When a retry may succeed, in seconds, where that is known.
+        message: What failed, with the object and the value concerned.
+        outcome: What is known about the request's execution.
+        retry_after_s: Delay in seconds after which a retry may succeed, if known.
     """
 
     code: ClassVar[str] = "internal"
@@ -78,16 +78,16 @@
 
 
 class SettingsInvalid(VerbenawindError):
-    """Raised at start-up when the settings file has faults."""
+    """Raised when a settings file cannot be read or is invalid."""
 
     code = "settings_invalid"
 
 
 class DocumentInvalid(VerbenawindError):
-    """Raised when an environment document has faults; carries all of them.
+    """Raised when an environment document is invalid; lists all faults.
 
     Args:
-        faults: One line for each fault, with its path and value.
+        faults: One line per fault, with its path and value.
     """
 
     code = "document_invalid"
@@ -98,12 +98,12 @@
 
 
 class RevisionConflict(VerbenawindError):
-    """Raised when another operator's revision was accepted first.
+    """Raised when an operator's change conflicts with a revision that was accepted before it.
 
     Args:
-        message: What was attempted on which environment.
-        current_revision: The revision that is in force instead.
-        difference: A readable difference between the two documents.
+        message: The attempted change and its environment.
+        current_revision: The revision in force.
+        difference: A human-readable difference between the two documents.
     """
 
     code = "revision_conflict"
@@ -115,7 +115,7 @@
 
 
 class UnknownEnvironment(VerbenawindError):
-    """Raised when no revision of the named environment and stage is known."""
+    """Raised when the environment and stage have no known revision."""
 
     code = "unknown_environment"
 
@@ -133,7 +133,7 @@
 
 
 class Forbidden(VerbenawindError):
-    """Raised when the caller is known but may not use what it asked for."""
+    """Raised when an authenticated caller lacks permission for the resource."""
 
     code = "forbidden"
 
@@ -163,7 +163,7 @@
 
 
 class CallerDisconnected(VerbenawindError):
-    """Raised when the caller closed its connection before the answer."""
+    """Raised when the caller closed its connection before the response was complete."""
 
     code = "caller_disconnected"
 
@@ -181,19 +181,19 @@
 
 
 class Draining(VerbenawindError):
-    """Raised when the daemon is shutting down and takes no new work."""
+    """Raised when the daemon is shutting down and accepts no new work."""
 
     code = "draining"
 
 
 class DeadlineExceeded(VerbenawindError):
-    """Raised when the request's deadline passed."""
+    """Raised when the request's deadline has passed."""
 
     code = "deadline_exceeded"
 
 
 class NoBackendServer(VerbenawindError):
-    """Raised when no backend server of the pool may take the request."""
+    """Raised when no backend server of the pool is eligible for the request."""
 
     code = "no_backend_server"
 
@@ -205,13 +205,13 @@
 
 
 class BackendServerUnreachable(VerbenawindError):
-    """Raised by an adapter when no byte of the request reached the backend server."""
+    """Raised by an adapter when no part of the request was sent to the backend server."""
 
     code = "backend_server_unreachable"
 
 
 class BackendServerFailed(VerbenawindError):
-    """Raised by an adapter when the backend server failed after it was given the request."""
+    """Raised by an adapter when the backend server failed after the request was sent to it."""
 
     code = "backend_server_failed"
 
@@ -226,25 +226,25 @@
 
 
 class StreamTruncated(BackendServerFailed):
-    """Raised when a stream ended without its end mark or with a wrong length."""
+    """Raised when a stream ended without its end marker or with the wrong length."""
 
     code = "stream_truncated"
 
 
 class RequestConvicted(VerbenawindError):
-    """Raised when a request has crashed two backend servers and is refused for a time."""
+    """Raised when a request is temporarily refused because it has crashed two backend servers."""
 
     code = "request_convicted"
 
 
 class IdempotencyKeyReused(VerbenawindError):
-    """Raised when an idempotency key comes again with another body."""
+    """Raised when an idempotency key is reused with a different body."""
 
     code = "idempotency_key_reused"
 
 
 class OutcomeUnknown(VerbenawindError):
-    """Raised when a non-idempotent request was dispatched and its result is not known."""
+    """Raised when a non-idempotent request was dispatched and its outcome is unknown."""
 
     code = "outcome_unknown"
 
@@ -253,11 +253,11 @@
 
 
 class StoreUnavailable(VerbenawindError):
-    """Raised when the table service or the object store gave no answer.
+    """Raised when the table service or the object store gave no usable response.
 
     Args:
-        message: Which call failed.
-        effect_possible: Whether a write may have taken effect all the same.
+        message: The call that failed.
+        effect_possible: Whether a write may have taken effect nevertheless.
     """
 
     code = "store_unavailable"
@@ -270,10 +270,10 @@
 
 
 class ConditionFailed(VerbenawindError):
-    """Raised when a conditional transaction was refused by the table service.
+    """Raised when the table service rejected a conditional transaction.
 
     Args:
-        keys: Keys of the rows whose condition did not hold.
+        keys: Keys of the rows whose conditions were not met.
     """
 
     code = "condition_failed"
@@ -284,11 +284,11 @@
 
 
 class RowConflict(VerbenawindError):
-    """A transaction's checks did not hold.
+    """Raised when the version checks of a transaction failed.
 
     Args:
-        message: Which rows had other versions.
-        versions: The current version of each checked row by its key, 0 where it is absent.
+        message: The rows whose versions differed.
+        versions: The current version of each checked row by key, 0 if the row is absent.
     """
 
     code = "row_conflict"
@@ -299,35 +299,35 @@
 
 
 class HistoryLost(VerbenawindError):
-    """A change feed cannot go on from the version that was asked for."""
+    """Raised when the store no longer has the changes after the requested version."""
 
     code = "history_lost"
 
 
 class LeaseLost(VerbenawindError):
-    """Raised when a lease lapsed or passed to another holder before an action under it."""
+    """Raised when a lease expired or was acquired by another holder before an action under it."""
 
     code = "lease_lost"
 
 
 class FencingRefused(VerbenawindError):
-    """Raised when a backend server refused an order with an old fencing number."""
+    """Raised when a backend server rejected an order with an outdated fencing token."""
 
     code = "fencing_refused"
 
 
 class StepConflict(VerbenawindError):
-    """Raised when a step is submitted again with another content."""
+    """Raised when a step is submitted again with different content."""
 
     code = "step_conflict"
 
 
 class CursorConflict(VerbenawindError):
-    """Raised when a poll's cursor names a void delivery or one that is long acknowledged.
+    """Raised when a poll's cursor refers to a void delivery or to one acknowledged long before.
 
     Args:
-        message: The cursor and where the delivery stands.
-        acknowledged_cursor: The cursor to poll with instead.
+        message: The cursor and the current position of the delivery.
+        acknowledged_cursor: The cursor with which the trainer should poll instead.
     """
 
     code = "cursor_conflict"
@@ -338,18 +338,18 @@
 
 
 class GradeConflict(VerbenawindError):
-    """Raised when a sample is graded again with another value."""
+    """Raised when a sample is graded again with a different value."""
 
     code = "grade_conflict"
 
 
 class PeerUnreachable(VerbenawindError):
-    """Raised when a call to another daemon got no answer."""
+    """Raised when a call to another daemon got no response."""
 
     code = "peer_unreachable"
 
 
 class PeerUnauthenticated(VerbenawindError):
-    """Raised when the other end of a peer link could not prove the shared key."""
+    """Raised when the other end of a peer link failed to prove that it has the shared key."""
 
     code = "peer_unauthenticated"
--- a/src/verbenawind/ids.py
+++ b/src/verbenawind/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: random ones for requests and attempts, deterministic ones for samples."""
+"""Random identifiers for requests and attempts, deterministic ones for samples, and digests."""
 
 import hashlib
 import secrets
@@ -9,7 +9,7 @@
 
 
 def new_id(prefix: str) -> str:
-    """Return a fresh random identifier such as ``req-1f0c...``."""
+    """Return a new random identifier such as ``req-1f0c...``."""
     return f"{prefix}-{secrets.token_hex(_RANDOM_BYTES)}"
 
 
--- a/src/verbenawind/supervision.py
+++ b/src/verbenawind/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon's background work going when it fails unexpectedly."""
+"""Restarts background tasks of a daemon after unexpected failures."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -9,16 +9,16 @@
 
 __all__ = ["supervise"]
 
-_RESTART_PAUSE_S = 1.0
+_RESTART_DELAY_S = 1.0
 
 
 async def supervise(name: str, work: Callable[[], Coroutine[Any, Any, None]], clock: Clock) -> None:
-    """Run *work* until it returns or is cancelled, and again after a pause when it raises.
+    """Run *work* until it returns or is cancelled; restart it after a delay if it raises.
 
     Args:
-        name: What the work is, for the log.
-        work: Starts the work.
-        clock: Time source of the pause.
+        name: Name of the work in the log.
+        work: Creates the coroutine to run.
+        clock: Time source of the delay.
     """
     log = structlog.get_logger("daemon")
     while True:
@@ -27,4 +27,4 @@
             return
         except Exception as error:
             log.error("background_work_failed", work=name, exc_info=error)
-        await clock.sleep(_RESTART_PAUSE_S)
+        await clock.sleep(_RESTART_DELAY_S)
--- a/src/verbenawind/timings.py
+++ b/src/verbenawind/timings.py
@@ -1,4 +1,4 @@
-"""Durations that parts of a daemon measure, for the metrics."""
+"""The durations that components measure for the metrics."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class Timing(StrEnum):
-    """What is measured; in seconds but for the ratio."""
+    """A measured quantity, in seconds except for the ratio."""
 
     ITEM_WAIT = "item_wait_seconds"
     RESULT_LISTING = "result_listing_seconds"
@@ -18,7 +18,7 @@
 
 
 class Timings(Protocol):
-    """Takes in measured durations."""
+    """Port that records measured durations."""
 
     def observe(self, timing: Timing, value: float) -> None:
-        """Record one duration, or one ratio."""
+        """Record a duration or ratio."""
