--- a/src/verbenawind/settings.py
+++ b/src/verbenawind/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: one file in JSON with comments for each host."""
+"""The daemon's settings file, JSON with comments, one for each host."""
 
 import ipaddress
 from pathlib import Path
@@ -26,98 +26,109 @@
 
 
 class _Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The base of the settings' parts."""
+    """Base class of the sections of the settings; unknown fields are errors."""
 
 
 class LimitSettings(_Settings, frozen=True, kw_only=True):
-    """Limits on what a daemon takes in."""
+    """Limits on requests and connections."""
 
     max_body_bytes: Annotated[
-        PositiveInt, Meta(description="Size of a request body, in bytes.")
+        PositiveInt, Meta(description="Maximum size of a request body, in bytes.")
     ] = (16 * 1024 * 1024)
     max_header_bytes: Annotated[
-        PositiveInt, Meta(description="Size of a request's headers, in bytes.")
+        PositiveInt, Meta(description="Maximum size of a request's headers, in bytes.")
     ] = (16 * 1024)
     max_connections: Annotated[
-        PositiveInt, Meta(description="Connections of callers and operators at once.")
+        PositiveInt,
+        Meta(description="Maximum number of open connections of callers and operators."),
     ] = 4096
     max_requests_in_flight: Annotated[
-        PositiveInt, Meta(description="Requests that are worked on at once.")
+        PositiveInt, Meta(description="Maximum number of requests in flight.")
     ] = 2048
     max_queued_requests: Annotated[
-        PositiveInt, Meta(description="Requests that wait for one pool or service.")
+        PositiveInt, Meta(description="Maximum number of requests queued for a pool or service.")
     ] = 20_000
     max_explained_requests: Annotated[
-        PositiveInt, Meta(description="Requests whose decisions are kept for explain.")
+        PositiveInt,
+        Meta(description="Number of recent requests whose decisions are kept for explain."),
     ] = 8192
     max_tokens_per_generation: Annotated[
-        PositiveInt, Meta(description="Tokens that one generation may ask for.")
+        PositiveInt, Meta(description="Maximum number of tokens that a generation may request.")
     ] = 131_072
-    max_grades_per_request: Annotated[PositiveInt, Meta(description="Grades in one request.")] = (
-        8192
-    )
+    max_grades_per_request: Annotated[
+        PositiveInt, Meta(description="Maximum number of grades in a request.")
+    ] = 8192
     max_deadline_s: Annotated[
-        PositiveFloat, Meta(description="Deadlines beyond this are cut to it, in seconds.")
+        PositiveFloat, Meta(description="Longer deadlines are reduced to this, in seconds.")
     ] = 3600.0
     max_poll_wait_s: Annotated[
-        PositiveFloat, Meta(description="How long a poll may wait, in seconds.")
+        PositiveFloat, Meta(description="Maximum wait of a long poll, in seconds.")
     ] = 60.0
     header_timeout_s: Annotated[
-        PositiveFloat, Meta(description="Time for a request head to arrive, in seconds.")
+        PositiveFloat, Meta(description="Time limit for receiving a request head, in seconds.")
     ] = 10.0
     write_timeout_s: Annotated[
-        PositiveFloat, Meta(description="For how long a caller may read nothing, in seconds.")
+        PositiveFloat,
+        Meta(
+            description="A connection closes if its caller reads nothing for this long, in seconds."
+        ),
     ] = 30.0
     body_timeout_s: Annotated[
-        PositiveFloat, Meta(description="Time for a request body to arrive, in seconds.")
+        PositiveFloat, Meta(description="Time limit for receiving a request body, in seconds.")
     ] = 20.0
 
 
 class DaemonSettings(_Settings, frozen=True, kw_only=True):
-    """What one daemon needs to know before it can ask anybody."""
+    """The settings of one daemon, read before it contacts the platform and its peers."""
 
-    daemon_id: Annotated[DaemonId, Meta(description="The daemon's name, unique among all.")]
-    zone: Annotated[NonEmpty, Meta(description="Its availability zone.")]
-    region: Annotated[NonEmpty, Meta(description="Its region.")]
+    daemon_id: Annotated[
+        DaemonId, Meta(description="Name of the daemon, unique among all daemons.")
+    ]
+    zone: Annotated[NonEmpty, Meta(description="Availability zone of the daemon.")]
+    region: Annotated[NonEmpty, Meta(description="Region of the daemon.")]
     listen: Annotated[
-        Address, Meta(description="IP number and port of the HTTP interface; port 0 for any.")
+        Address,
+        Meta(description="IP address and port of the HTTP interface; port 0 means any free port."),
     ]
     peer_listen: Annotated[
-        Address, Meta(description="IP number and port for links between daemons.")
+        Address, Meta(description="IP address and port for links between daemons.")
     ]
     peer_key: Annotated[
-        PeerKey, Meta(description="The key that daemons prove to each other; the same on all.")
+        PeerKey,
+        Meta(description="Shared key with which daemons authenticate; the same on all of them."),
     ]
     platform_url: Annotated[
-        Url, Meta(description="URL of the platform's table, objects, weights and host list.")
+        Url,
+        Meta(description="URL of the platform's table, object store, weight store and host list."),
     ]
     operator_token_sha256: Annotated[
-        Sha256, Meta(description="SHA-256 of the operators' token, in hexadecimal.")
+        Sha256, Meta(description="SHA-256 digest of the operators' token, in hexadecimal.")
     ]
     peer_seeds: Annotated[
-        tuple[Address, ...], Meta(description="Addresses of some other daemons.")
+        tuple[Address, ...],
+        Meta(description="Addresses of some other daemons, used to join the group of daemons."),
     ] = ()
     log_level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        Meta(description="The least level of lines that are written."),
+        Meta(description="Minimum level of log lines."),
     ] = "info"
     unready_grace_s: Annotated[
         NonNegativeFloat,
-        Meta(description="For how long it still takes work once unready, in seconds."),
+        Meta(description="How long the daemon still accepts work once unready, in seconds."),
     ] = 1.0
     trace_file: Annotated[
-        str, Meta(description="File that requests are recorded into; none when empty.")
+        str, Meta(description="File in which requests are recorded; empty for none.")
     ] = ""
-    limits: Annotated[LimitSettings, Meta(description="Limits on what it takes in.")] = (
+    limits: Annotated[LimitSettings, Meta(description="Limits on requests and connections.")] = (
         LimitSettings()
     )
 
 
 def load_settings(path: str) -> DaemonSettings:
-    """Return the checked settings in the file at *path*.
+    """Load and validate the settings in the file at *path*.
 
     Raises:
-        SettingsInvalid: The file cannot be read or has faults; all of them are listed.
+        SettingsInvalid: The file cannot be read or is invalid; all faults are listed.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -127,10 +138,10 @@
 
 
 def parse_settings(text: str) -> DaemonSettings:
-    """Return the checked settings in *text*, JSON with comments.
+    """Parse and validate settings in JSON with comments.
 
     Raises:
-        SettingsInvalid: The text is no JSON or has faults; all of them are listed.
+        SettingsInvalid: The text is not JSON or is invalid; all faults are listed.
     """
     raw, faults = read_json(text)
     if raw is not None:
@@ -148,7 +159,7 @@
     if isinstance(seeds, list):
         named += [(f"$.peer_seeds[{index}]", seed) for index, seed in enumerate(seeds)]
     return [
-        f"{path}: {value!r} is no IP number with a port"
+        f"{path}: {value!r} is not an IP address with a port"
         for path, value in named
         if isinstance(value, str) and not _is_address(value)
     ]
