--- a/tests/on_platform/scene.py
+++ b/tests/on_platform/scene.py
@@ -1,4 +1,4 @@
-"""A daemon on the platform over loopback: store, servers, configuration, and raw callers."""
+"""Test harness that runs platform daemons with a stub store and stub servers on loopback."""
 
 import asyncio
 import base64
@@ -16,23 +16,23 @@
 
 HOST = "rollouts.example"
 MODEL = "tuner"
-_READY_TRIES = 500
+_MAX_CHECKS = 500
 
 
 def free_address() -> str:
-    """Return a loopback address with a free port."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{probe.getsockname()[1]}"
+    """Return a loopback address with a port that is free at the moment."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 class Response:
-    """What a caller got; ``whole`` is whether the body had the length that it claims."""
+    """A parsed HTTP response, with a decoded body if it is chunked."""
 
     def __init__(self, raw: bytes) -> None:
         head, _, body = raw.partition(b"\r\n\r\n")
-        first, *lines = head.decode("latin-1").split("\r\n")
-        self.status = int(first.split()[1]) if first else 0
+        status_line, *lines = head.decode("latin-1").split("\r\n")
+        self.status = int(status_line.split()[1]) if status_line else 0
         self.headers = {
             name.strip().lower(): value.strip()
             for name, _, value in (line.partition(":") for line in lines)
@@ -51,7 +51,7 @@
 
 
 class Scene:
-    """One daemon, a store, an engine pool and a plain service."""
+    """Daemons, a store, an engine pool and a plain service."""
 
     def __init__(self) -> None:
         self.store = WireStore()
@@ -60,9 +60,9 @@
         self.daemons: list[PlatformDaemon] = []
 
     async def start(self, daemons: int = 1) -> None:
-        """Start everything and wait until the daemons are ready."""
-        for served in (self.store, *self.engines, *self.plain):
-            await served.start()
+        """Start all servers and daemons, and wait until the daemons are ready."""
+        for app in (self.store, *self.engines, *self.plain):
+            await app.start()
         for servers, service in ((self.engines, "engines"), (self.plain, "plain")):
             for server in servers:
                 self.register(server, service)
@@ -71,7 +71,7 @@
             await self.add_daemon(f"host-{index}")
 
     async def add_daemon(self, name: str, *, ready: bool = True) -> PlatformDaemon:
-        """Start a daemon, and wait until it is ready if it should be."""
+        """Start a daemon; wait until it is ready unless *ready* is false."""
         daemon = PlatformDaemon(
             HostSettings(
                 host_name=name,
@@ -98,15 +98,15 @@
 
     @staticmethod
     async def until(condition: Callable[[], Any]) -> None:
-        """Wait until a condition holds."""
-        for _ in range(_READY_TRIES):
+        """Wait until a condition is true."""
+        for _ in range(_MAX_CHECKS):
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("the condition never held")
+        raise AssertionError("the condition did not become true in time")
 
     def register(self, server: WireServer, service: str, **changes: Any) -> None:
-        """Write a server's entry."""
+        """Write a server's registration."""
         entry = {
             "service": service,
             "address": server.address,
@@ -123,7 +123,7 @@
         self.store.put("servers", server.instance_id, entry | changes)
 
     def configure(self, version: int = 1, **limits: int) -> None:
-        """Write a configuration with a plain, a once-only, a streaming and a batch route."""
+        """Write a configuration with a route of each kind."""
         common = {"host": HOST, "timeout-ms": 3000, "target-latency-ms": 400, "max-attempts": 2}
         routes = [
             {"name": "plain", "path-prefix": "/plain/", "kind": "idempotent", "service": "plain"},
@@ -176,7 +176,7 @@
         host: str = HOST,
         **headers: str,
     ) -> Response:
-        """Send one request on a connection of its own."""
+        """Send a request on a new connection."""
         lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", "Connection: close"]
         lines.append(f"X-Verbenawind-Attempt-Id: {request_id}")
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -185,9 +185,9 @@
         return await self.raw("\r\n".join([*lines, "\r\n"]).encode() + body, daemon=daemon)
 
     async def raw(self, data: bytes, *, daemon: int = 0, address: str = "") -> Response:
-        """Send bytes and return what comes until the connection closes."""
-        where = address or self.daemons[daemon].settings.callers_address
-        host, _, port = where.rpartition(":")
+        """Send bytes on a new connection and return the response received until it closes."""
+        target_address = address or self.daemons[daemon].settings.callers_address
+        host, _, port = target_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(data)
         raw = await reader.read()
@@ -195,15 +195,15 @@
         return Response(raw)
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all daemons and servers immediately."""
         for daemon in self.daemons:
             await daemon.kill()
-        for served in (self.store, *self.engines, *self.plain):
-            await served.stop()
+        for app in (self.store, *self.engines, *self.plain):
+            await app.stop()
 
 
 def submission(items: int = 4, events: int = 3, *, size: int = 2) -> bytes:
-    """Return a job's body."""
+    """Return the body of a batch job submission."""
     return json.dumps(
         {
             "step": 1,
@@ -226,9 +226,9 @@
 
 
 def run_scene(work: Callable[[Scene], Awaitable[None]], *, daemons: int = 1) -> None:
-    """Run *work* with a scene that is ready."""
+    """Run *work* with a harness whose daemons are ready."""
 
-    async def whole() -> None:
+    async def run_all() -> None:
         scene = Scene()
         try:
             await scene.start(daemons)
@@ -236,4 +236,4 @@
         finally:
             await scene.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_all())
--- a/tests/on_platform/test_caller_app.py
+++ b/tests/on_platform/test_caller_app.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface on the platform, over real sockets."""
+"""Tests of the platform daemon's HTTP interface for callers, over loopback sockets."""
 
 import asyncio
 import json
@@ -8,8 +8,8 @@
 
 
 class TestPlainRequests:
-    def test_request_and_answer_pass_unchanged(self) -> None:
-        """Method, target, body and headers reach the server; its answer comes back as it was."""
+    def test_request_and_response_are_forwarded_unchanged(self) -> None:
+        """Method, target, body and end-to-end headers are forwarded; so is the response."""
 
         async def work(scene: Scene) -> None:
             response = await scene.call(
@@ -32,7 +32,7 @@
         run_scene(work)
 
     def test_unknown_routes_are_not_found(self) -> None:
-        """A host or a path without a route is answered 404."""
+        """A request whose host or path has no route gets status 404."""
 
         async def work(scene: Scene) -> None:
             assert (await scene.call("GET", "/nothing/x")).status == 404
@@ -41,7 +41,7 @@
         run_scene(work)
 
     def test_refused_request_goes_to_another_server(self) -> None:
-        """A server that says it did not run the request is not the last word."""
+        """A request that a server refused without running it is sent to another server."""
 
         async def work(scene: Scene) -> None:
             scene.plain[0].refusing = True
@@ -51,8 +51,8 @@
 
         run_scene(work)
 
-    def test_request_that_nobody_ran_is_refused_with_a_time(self) -> None:
-        """When every server refuses, the caller is told that nothing ran and when to return."""
+    def test_request_refused_by_all_servers_gets_503_with_retry_after(self) -> None:
+        """If every server refuses a request, the caller gets status 503 with a retry delay."""
 
         async def work(scene: Scene) -> None:
             for server in scene.plain:
@@ -62,8 +62,8 @@
 
         run_scene(work)
 
-    def test_lost_answer_is_repeated_only_where_it_may(self) -> None:
-        """After a lost answer an idempotent request runs again, another one promises nothing."""
+    def test_lost_response_is_retried_only_for_idempotent_requests(self) -> None:
+        """After a lost response, an idempotent request is retried; another one gets status 502."""
 
         async def work(scene: Scene) -> None:
             for server in scene.plain:
@@ -75,8 +75,8 @@
 
         run_scene(work)
 
-    def test_former_server_s_address_is_not_used(self) -> None:
-        """A server that took over an address refuses, and the request runs elsewhere."""
+    def test_reused_server_address_is_detected(self) -> None:
+        """A server that has reused another one's address refuses; the request runs elsewhere."""
 
         async def work(scene: Scene) -> None:
             scene.plain[0].instance_id = "somebody-else"
@@ -89,8 +89,8 @@
 
 
 class TestBadInput:
-    def test_two_lengths_are_refused(self) -> None:
-        """A request with a length and chunks is answered 400, and its connection closed."""
+    def test_ambiguous_framing_is_refused(self) -> None:
+        """Content-Length with Transfer-Encoding gets status 400 and the connection is closed."""
 
         async def work(scene: Scene) -> None:
             response = await scene.raw(
@@ -103,7 +103,7 @@
         run_scene(work)
 
     def test_large_head_is_refused(self) -> None:
-        """Headers beyond the limit, and beyond what is read at all, are answered 431."""
+        """Headers beyond the configured limit, or beyond the server's own limit, get status 431."""
 
         async def work(scene: Scene) -> None:
             for size in (20_000, 400_000):
@@ -113,7 +113,7 @@
         run_scene(work)
 
     def test_large_body_is_refused(self) -> None:
-        """A body beyond the configuration's limit is answered 413."""
+        """A body beyond the configured limit gets status 413."""
 
         async def work(scene: Scene) -> None:
             assert (await scene.call("POST", "/plain/x", b"a" * 200_000)).status == 413
@@ -121,7 +121,7 @@
         run_scene(work)
 
     def test_request_without_id_is_refused(self) -> None:
-        """A proper route without the id of the attempt is a bad request."""
+        """A request without the attempt id header gets status 400."""
 
         async def work(scene: Scene) -> None:
             response = await scene.raw(
@@ -133,8 +133,8 @@
 
 
 class TestStreams:
-    def test_events_pass_and_end(self) -> None:
-        """A stream arrives event by event with its first server's headers."""
+    def test_events_are_forwarded_to_the_end(self) -> None:
+        """All events of a stream are forwarded, with the status of the server's response."""
 
         async def work(scene: Scene) -> None:
             response = await scene.call(
@@ -147,8 +147,8 @@
 
         run_scene(work)
 
-    def test_caller_resumes(self) -> None:
-        """A caller that asks for the rest of a stream gets the rest."""
+    def test_caller_resumes_a_stream(self) -> None:
+        """A request with Last-Event-Id gets only the events after it."""
 
         async def work(scene: Scene) -> None:
             response = await scene.call(
@@ -166,7 +166,7 @@
 
 class TestJobs:
     def test_job_from_submission_to_end(self) -> None:
-        """A job is accepted, listed, read from any daemon, gives bodies back, and ends."""
+        """A job can be submitted, repeated, read and ended at any daemon."""
 
         async def work(scene: Scene) -> None:
             assert (
@@ -200,7 +200,7 @@
         run_scene(work, daemons=2)
 
     def test_malformed_job_is_refused(self) -> None:
-        """A body that is no job is a bad request."""
+        """A malformed job submission gets status 400."""
 
         async def work(scene: Scene) -> None:
             for body in (b"{", b'{"items": 3}', b'{"items": [{"id": "a"}]}'):
@@ -209,8 +209,8 @@
 
         run_scene(work)
 
-    def test_store_that_loses_the_answer_has_the_job_once(self) -> None:
-        """A submission whose answer the store lost is accepted, and run once."""
+    def test_lost_store_response_does_not_duplicate_the_job(self) -> None:
+        """If the store's response to a submission is lost, the job is accepted and runs once."""
 
         async def work(scene: Scene) -> None:
             scene.store.drop_next = 2
@@ -223,8 +223,8 @@
 
 
 class TestStart:
-    def test_request_that_comes_before_the_configuration_is_served(self) -> None:
-        """A daemon that has just started serves a request once it knows the routes."""
+    def test_request_waits_for_the_first_configuration(self) -> None:
+        """A request to a daemon that has just started is served once the routes are known."""
 
         async def work(scene: Scene) -> None:
             scene.store.busy = True
@@ -236,8 +236,8 @@
 
         run_scene(work)
 
-    def test_request_is_refused_when_the_configuration_does_not_come(self) -> None:
-        """Without the store a daemon that has just started refuses, with a time to return."""
+    def test_request_is_refused_without_a_configuration(self) -> None:
+        """A daemon that cannot read the store after its start gives 503 with a retry delay."""
 
         async def work(scene: Scene) -> None:
             scene.store.busy = True
@@ -249,8 +249,8 @@
 
 
 class TestOperation:
-    def test_refused_read_is_in_its_job_s_story(self) -> None:
-        """A read that the store's outage fails is logged with its job and the time it is told."""
+    def test_failed_read_is_logged_with_its_job(self) -> None:
+        """A read that fails in a store outage is logged with its job id and retry delay."""
 
         async def work(scene: Scene) -> None:
             response = await scene.call("POST", "/batch/j", submission(), request_id="j")
@@ -266,7 +266,7 @@
         run_scene(work)
 
     def test_ready_only_with_a_configuration(self) -> None:
-        """A daemon is ready once it knows the configuration, and unready when it is to end."""
+        """A daemon is ready with a configuration, and unready once it hands over its work."""
 
         async def work(scene: Scene) -> None:
             daemon = scene.daemons[0]
@@ -277,8 +277,8 @@
 
         run_scene(work)
 
-    def test_metrics_name_the_store_s_calls(self) -> None:
-        """Counters are served as text at the metrics address."""
+    def test_metrics_are_served(self) -> None:
+        """Metrics of the store, requests, feeds, jobs and servers are served as text."""
 
         async def work(scene: Scene) -> None:
             await scene.call("POST", "/plain/x", b"b")
@@ -301,8 +301,8 @@
 
         run_scene(work)
 
-    def test_configuration_changes_are_followed_and_never_go_back(self) -> None:
-        """A newer configuration is in force soon; an older one is passed over."""
+    def test_older_configuration_is_ignored(self) -> None:
+        """A newer configuration comes into force; an older one is ignored."""
 
         async def work(scene: Scene) -> None:
             node = scene.daemons[0].node
@@ -314,8 +314,8 @@
 
         run_scene(work)
 
-    def test_calls_are_relayed_when_the_store_is_out_of_reach(self) -> None:
-        """A daemon that cannot reach the store has its calls made by a peer."""
+    def test_calls_are_relayed_when_the_store_is_unreachable(self) -> None:
+        """Store calls of a daemon that cannot reach the store are relayed by a peer."""
 
         async def work(scene: Scene) -> None:
             await scene.until(lambda: scene.daemons[1].node.peer_addresses())
@@ -326,7 +326,7 @@
         run_scene(work, daemons=2)
 
     def test_new_weights_are_ordered(self) -> None:
-        """A named version reaches the engines as orders with a holder and a fencing number."""
+        """A published version is sent to the engines as orders with holder and fencing token."""
 
         async def work(scene: Scene) -> None:
             scene.store.put("op", "version/tuner", {"model": "tuner", "version": 2})
--- a/tests/on_platform/test_settings.py
+++ b/tests/on_platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's settings file and of rows by other writers."""
+"""Tests of the platform's settings file and of decoding rows of other writers."""
 
 import json
 
@@ -49,8 +49,8 @@
 
 
 class TestSettings:
-    def test_file_becomes_typed_fields(self) -> None:
-        """Names and units are the project's; unknown keys are left alone."""
+    def test_file_is_converted(self) -> None:
+        """Settings are converted to this project's names and units; unknown keys are ignored."""
         settings = parse_host_settings(SETTINGS)
         assert settings.host_name == "edge-1"
         assert settings.peer_address == "10.1.0.10:7300"
@@ -59,8 +59,8 @@
         assert settings.max_row_bytes == 1000
         assert settings.region_of_zone == {"a": "r", "b": "q"}
 
-    def test_all_faults_are_named_at_once(self) -> None:
-        """A wrong file is refused with every fault's path and value."""
+    def test_all_faults_are_reported_together(self) -> None:
+        """An invalid file is rejected with the path and value of every fault."""
         text = SETTINGS.replace('"edge-1"', "7").replace('front = "10.1.0.10:8263"', "")
         with pytest.raises(SettingsInvalid) as caught:
             parse_host_settings(text)
@@ -68,27 +68,27 @@
         assert "$.listen.front: missing" in caught.value.message
 
     def test_one_port_is_not_enough(self) -> None:
-        """Peers and metrics need a port each."""
+        """A port range without separate ports for peers and metrics is rejected."""
         with pytest.raises(SettingsInvalid, match="internal-ports"):
             parse_host_settings(SETTINGS.replace("[7300, 7315]", "[7300, 7300]"))
 
-    def test_no_file(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Without a file the error says where its name is looked for."""
+    def test_missing_file(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """The error for a missing file names the environment variable or the cause."""
         monkeypatch.delenv("VERBENAWIND_SETTINGS", raising=False)
         with pytest.raises(SettingsInvalid, match="VERBENAWIND_SETTINGS"):
             load_host_settings()
         with pytest.raises(SettingsInvalid, match="No such file"):
             load_host_settings("/nowhere/settings.toml")
 
-    def test_text_that_is_no_toml(self) -> None:
-        """A file in another format is refused."""
+    def test_invalid_toml(self) -> None:
+        """Text that is not TOML is rejected."""
         with pytest.raises(SettingsInvalid):
             parse_host_settings("{")
 
 
 class TestEntries:
     def test_entry_is_decoded(self) -> None:
-        """An entry names the server, where it is, and the weights that it has."""
+        """A registration has the server's location and loaded weight versions."""
         instance = decode_instance("i-1", json.dumps(ENTRY).encode(), {"b": "q"})
         assert instance is not None
         assert (instance.location.zone, instance.location.region) == ("b", "q")
@@ -107,23 +107,23 @@
             {"born": 1.5},
         ],
     )
-    def test_unusable_entry_names_no_server(self, change: dict[str, object]) -> None:
-        """An entry by another writer, with a field missing or of another type, is passed over."""
+    def test_unusable_entry_is_ignored(self, change: dict[str, object]) -> None:
+        """A registration with a missing field or one of a wrong type decodes to None."""
         assert decode_instance("i-1", json.dumps(ENTRY | change).encode(), {}) is None
         assert decode_instance("i-1", b"\xff", {}) is None
         for name in ("service", "address", "zone", "slots", "state"):
             entry = {key: value for key, value in ENTRY.items() if key != name}
             assert decode_instance("i-1", json.dumps(entry).encode(), {}) is None
 
-    def test_whole_numbers_may_have_a_point(self) -> None:
-        """A writer whose numbers have a point is understood."""
+    def test_integers_may_have_a_decimal_point(self) -> None:
+        """An integer that another writer encoded as 16.0 is accepted."""
         instance = decode_instance("i-1", json.dumps(ENTRY | {"slots": 16.0}).encode(), {})
         assert instance is not None and instance.slots == 16
 
 
 class TestConfiguration:
     def test_routes_and_limits(self) -> None:
-        """Times become seconds, kinds the product's own, a service a share of one."""
+        """Times are converted to seconds, kinds to RouteKind, a service to a share of weight 1."""
         configuration = decode_configuration(
             json.dumps(
                 {
@@ -155,7 +155,7 @@
         assert configuration.limits.idle_timeout_s == 15.0
 
     def test_operator_rows(self) -> None:
-        """Versions are told from the configuration; other rows are of no concern."""
+        """Published versions and configurations are decoded by key; other rows are ignored."""
         registry = PlatformRegistry({})
         named = registry.operator_row("version/m", b'{"model": "m", "version": 4}')
         assert named is not None and named.version == 4
--- a/tests/on_platform/wire.py
+++ b/tests/on_platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's store and backend servers over real sockets, as the platform spells them."""
+"""Stubs of the platform's store and backend servers, served with its HTTP formats on loopback."""
 
 import asyncio
 import base64
@@ -19,11 +19,11 @@
 
 
 class Dropped(Exception):
-    """Raised to close a connection without an answer."""
+    """Raised by a stub to close the connection without a response."""
 
 
 async def read_body(receive: Receive) -> bytes:
-    """Return a request's whole body."""
+    """Return the complete body of a request."""
     parts = []
     while True:
         message = await receive()
@@ -33,7 +33,7 @@
 
 
 async def answer(send: Send, status: int, body: bytes = b"", **headers: str) -> None:
-    """Send a whole answer; underscores in header names stand for dashes."""
+    """Send a complete response; underscores in header names become dashes."""
     raw = [(b"content-length", str(len(body)).encode())]
     raw += [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
     await send({"type": "http.response.start", "status": status, "headers": raw})
@@ -41,18 +41,18 @@
 
 
 class Served:
-    """An ASGI application behind a real socket on loopback."""
+    """Base class of an ASGI application served on a loopback socket."""
 
     def __init__(self) -> None:
         self._server = HttpServer(self, "127.0.0.1", 0)
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address of the server."""
         return self._server.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start the server."""
         await self._server.start()
 
     async def stop(self) -> None:
@@ -60,11 +60,15 @@
         await self._server.kill()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        raise AssertionError("a subclass answers")
+        raise AssertionError("subclasses must override __call__")
 
 
 class WireStore(Served):
-    """The metadata store; ``busy`` refuses calls, ``drop_next`` loses answers after the effect."""
+    """A stub of the metadata store.
+
+    While ``busy`` is set, calls get status 503. ``drop_next`` is the number of next writes whose
+    responses are lost after they have taken effect.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -74,7 +78,7 @@
         self.calls: list[str] = []
 
     def put(self, table: str, key: str, value: Any) -> None:
-        """Write a row as JSON."""
+        """Write a row, with *value* as JSON unless it is bytes."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.rows.put(RowId(table=table, key=key), data)
 
@@ -170,7 +174,12 @@
 
 
 class WireServer(Served):
-    """A backend server: echoes plain requests, streams events for those that ask for them."""
+    """A stub of a backend server.
+
+    It echoes plain requests, streams events to requests that name a model, and accepts load orders.
+    While ``refusing`` is set, requests get status 503 as not executed. ``drop_next`` is the number
+    of next requests whose responses are lost; ``event_s`` is the delay between events.
+    """
 
     def __init__(self, instance_id: str, version: int = 1) -> None:
         super().__init__()
