--- a/tests/programs/processes.py
+++ b/tests/programs/processes.py
@@ -1,4 +1,4 @@
-"""Starts the two programs as real processes before stand-ins that the test process serves."""
+"""Runs the two programs as processes, with stand-ins that the test process serves."""
 
 import asyncio
 import json
@@ -29,13 +29,13 @@
 
 TEST_TIMEOUT_S = 40.0
 _SOURCES = Path(__file__).resolve().parents[2] / "src"
-_KEPT_LINES = 200
+_MAX_LOG_LINES = 200
 
 T = TypeVar("T")
 
 
-class Stage:
-    """The stand-ins, and the processes started before them."""
+class ProcessHarness:
+    """The stand-ins, and the daemon processes that use them."""
 
     def __init__(self, directory: Path, profile: EngineProfile | None) -> None:
         clock, rng = SystemClock(), Random(1)
@@ -50,16 +50,16 @@
         self._platform_address = ""
 
     async def start(self) -> None:
-        """Serve the stand-ins."""
+        """Start the HTTP servers of the stand-ins."""
         apps = platform_app(self.table, self.objects, self.hosts, StandinWeights())
         self._platform_address = await self._serve(apps)
         engine_address = await self._serve(engine_app(self.engine))
         service_address = await self._serve(service_app(self.service))
-        self._list("engine-0", HostRole.ENGINE, "tuning", engine_address)
-        self._list("cards-0", HostRole.SERVICE, "job-cards", service_address)
+        self._register_host("engine-0", HostRole.ENGINE, "tuning", engine_address)
+        self._register_host("cards-0", HostRole.SERVICE, "job-cards", service_address)
 
     async def daemon(self, daemon_id: str = "daemon-0") -> "DaemonProcess":
-        """Start a daemon and wait until it serves."""
+        """Start a daemon process and wait until it serves."""
         settings = {
             "daemon_id": daemon_id,
             "zone": "bangkok-a",
@@ -79,19 +79,19 @@
         return daemon
 
     async def command(self, daemon: "DaemonProcess", *words: str) -> tuple[int, str, str]:
-        """Run the command line to its end; return exit code, standard output and error."""
+        """Run a command of the CLI; return its exit code, standard output and standard error."""
         process = await start_python("verbenawind.cli", *words, f"--server={daemon.url}")
         out, err = await process.communicate()
         return process.returncode or 0, out.decode(), err.decode()
 
     def document(self, text: str = DOCUMENT_TEXT) -> str:
-        """Write a document and return its path."""
+        """Write an environment document and return its path."""
         path = self.directory / "document.jsonc"
         path.write_text(text)
         return str(path)
 
     async def stop(self) -> None:
-        """Kill what still runs."""
+        """Kill the daemons and stop the stand-ins."""
         for daemon in self.daemons:
             await daemon.kill()
         await self.engine.stop()
@@ -104,7 +104,7 @@
         self._servers.append(server)
         return server.address
 
-    def _list(self, host_id: str, role: HostRole, group: str, address: str) -> None:
+    def _register_host(self, host_id: str, role: HostRole, group: str, address: str) -> None:
         location = Location(zone="bangkok-a", region="bangkok")
         entry = HostEntry(
             host_id=host_id, role=role, group=group, address=address, location=location
@@ -113,11 +113,11 @@
 
 
 class DaemonProcess:
-    """One running daemon; its log is read all the time."""
+    """A running daemon process, whose log is read continuously."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
-        self.lines: deque[str] = deque(maxlen=_KEPT_LINES)
+        self.lines: deque[str] = deque(maxlen=_MAX_LOG_LINES)
         self._address: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._reading = asyncio.get_running_loop().create_task(self._read())
 
@@ -128,22 +128,22 @@
 
     @property
     def v1(self) -> str:
-        """The URL of the callers' interface."""
+        """The base URL of the callers' interface."""
         return f"{self.url}/environments/siam-fold/production/v1"
 
     async def wait_until_serving(self) -> None:
-        """Wait for the log line that names the bound address."""
+        """Wait for the log line with the bound address."""
         await asyncio.wait((self._address, self._reading), return_when=asyncio.FIRST_COMPLETED)
         assert self._address.done(), "\n".join(self.lines)
 
     async def exit_code(self) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait for the process to exit and return its exit code."""
         code = await self.process.wait()
         await self._reading
         return code
 
     async def kill(self) -> None:
-        """Kill the process if it still runs."""
+        """Kill the process if it is still running."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -159,7 +159,7 @@
 
 
 async def start_python(module: str, *arguments: str) -> asyncio.subprocess.Process:
-    """Start a module of the package as a process."""
+    """Start a module of the package as a Python process."""
     environment = os.environ | {"PYTHONPATH": str(_SOURCES), "VERBENAWIND_TOKEN": OPERATOR_TOKEN}
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -172,21 +172,21 @@
     )
 
 
-def run_stage(
+def run_with_harness(
     directory: Path,
-    scenario: Callable[[Stage], Awaitable[T]],
+    scenario: Callable[[ProcessHarness], Awaitable[T]],
     *,
     profile: EngineProfile | None = None,
 ) -> T:
-    """Run *scenario* on started stand-ins, bounded in time."""
+    """Run *scenario* with started stand-ins, within a time limit."""
 
-    async def whole() -> T:
+    async def run_all() -> T:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            stage = Stage(directory, profile)
-            await stage.start()
+            harness = ProcessHarness(directory, profile)
+            await harness.start()
             try:
-                return await scenario(stage)
+                return await scenario(harness)
             finally:
-                await stage.stop()
+                await harness.stop()
 
-    return asyncio.run(whole())
+    return asyncio.run(run_all())
--- a/tests/programs/test_programs.py
+++ b/tests/programs/test_programs.py
@@ -1,4 +1,4 @@
-"""Tests of the two programs as real processes."""
+"""Tests of the two programs as processes."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import httpx
-from processes import DaemonProcess, Stage, run_stage, start_python
+from processes import DaemonProcess, ProcessHarness, run_with_harness, start_python
 
 from loopback import APPLICATION_TOKEN, DOCUMENT_TEXT, TRAINER_TOKEN
 from verbenawind.cli import ExitCode
@@ -18,25 +18,25 @@
 
 
 def client(token: str = APPLICATION_TOKEN) -> httpx.AsyncClient:
-    """Return an HTTP client that bears a token."""
+    """Return an HTTP client with a bearer token."""
     headers = {"authorization": f"Bearer {token}"}
     return httpx.AsyncClient(headers=headers, timeout=20.0, trust_env=False)
 
 
 class TestPrograms:
-    def test_from_document_to_answer_to_explanation(self, tmp_path: Path) -> None:
-        """An operator brings a document into force, a caller is answered, explain tells how."""
-
-        async def scenario(stage: Stage) -> None:
-            daemon = await stage.daemon()
-            path = stage.document()
-            assert (await stage.command(daemon, "validate", path))[0] == ExitCode.DONE
-            assert (await stage.command(daemon, "diff", path))[0] == ExitCode.DIFFERENT
-            assert (await stage.command(daemon, "apply", path))[0] == ExitCode.DONE
-            changed = stage.document(CHANGED_TEXT)
-            conflict = await stage.command(daemon, "apply", changed, "--expect_revision=0")
+    def test_apply_request_and_explain(self, tmp_path: Path) -> None:
+        """A document is applied, a request succeeds, and explain shows how it was routed."""
+
+        async def scenario(harness: ProcessHarness) -> None:
+            daemon = await harness.daemon()
+            path = harness.document()
+            assert (await harness.command(daemon, "validate", path))[0] == ExitCode.DONE
+            assert (await harness.command(daemon, "diff", path))[0] == ExitCode.DIFFERENT
+            assert (await harness.command(daemon, "apply", path))[0] == ExitCode.DONE
+            changed = harness.document(CHANGED_TEXT)
+            conflict = await harness.command(daemon, "apply", changed, "--expect_revision=0")
             assert conflict[0] == ExitCode.CONFLICT
-            assert (await stage.command(daemon, "promote", "siam-fold"))[0] == ExitCode.DONE
+            assert (await harness.command(daemon, "promote", "siam-fold"))[0] == ExitCode.DONE
             async with client() as caller:
                 answer = await caller.post(
                     f"{daemon.v1}/completions",
@@ -44,28 +44,28 @@
                     headers={"X-Request-Id": "shift-7"},
                 )
             assert answer.status_code == 200
-            code, out, _ = await stage.command(daemon, "explain", "shift-7", "--json")
+            code, out, _ = await harness.command(daemon, "explain", "shift-7", "--json")
             assert code == ExitCode.DONE
             assert "engine-0" in json.dumps(json.loads(out)["daemons"]["daemon-0"])
-            code, out, _ = await stage.command(daemon, "status")
+            code, out, _ = await harness.command(daemon, "status")
             assert code == ExitCode.DONE
             assert "siam-fold/production" in out
-            assert (await stage.command(daemon, "drain", "engine-0"))[0] == ExitCode.DONE
-            missing = await stage.command(daemon, "drain", "nothing")
+            assert (await harness.command(daemon, "drain", "engine-0"))[0] == ExitCode.DONE
+            missing = await harness.command(daemon, "drain", "nothing")
             assert missing[0] == ExitCode.NOT_FOUND
             daemon.process.send_signal(signal.SIGTERM)
             assert await daemon.exit_code() == 0
-            gone = await stage.command(daemon, "status")
+            gone = await harness.command(daemon, "status")
             assert gone[0] == ExitCode.UNREACHABLE
 
-        run_stage(tmp_path, scenario)
+        run_with_harness(tmp_path, scenario)
 
-    def test_faulty_settings_are_all_named(self, tmp_path: Path) -> None:
-        """A daemon with faulty settings exits at once, with every fault and no traceback."""
+    def test_all_settings_faults_are_reported(self, tmp_path: Path) -> None:
+        """A daemon with invalid settings exits at once and prints every fault, not a traceback."""
         path = tmp_path / "faulty.jsonc"
         path.write_text('{"daemon_id": "", "listen": "nowhere:80", "typo": 1}')
 
-        async def scenario(_: Stage) -> None:
+        async def scenario(_: ProcessHarness) -> None:
             process = await start_python("verbenawind.daemon", f"--settings={path}")
             _, err = await process.communicate()
             assert process.returncode == 2
@@ -73,17 +73,17 @@
                 assert fault in err
             assert b"Traceback" not in err
 
-        run_stage(tmp_path, scenario)
+        run_with_harness(tmp_path, scenario)
 
 
 class TestGracefulShutdown:
-    def test_sigterm_interrupts_nothing(self, tmp_path: Path) -> None:
-        """A stream and a long poll under way at SIGTERM end whole, and the log shows no error."""
+    def test_sigterm_completes_requests_in_flight(self, tmp_path: Path) -> None:
+        """A stream and a poll in flight at SIGTERM complete, and the log has no errors."""
 
-        async def scenario(stage: Stage) -> None:
-            daemon = await stage.daemon()
-            path = stage.document()
-            await stage.command(daemon, "apply", path, "--stage=production")
+        async def scenario(harness: ProcessHarness) -> None:
+            daemon = await harness.daemon()
+            path = harness.document()
+            await harness.command(daemon, "apply", path, "--stage=production")
             first = asyncio.Event()
             streaming = asyncio.create_task(_stream(daemon, first))
             polling = asyncio.create_task(_poll(daemon))
@@ -98,7 +98,7 @@
             levels = {json.loads(line)["level"] for line in daemon.lines}
             assert levels <= {"info"}, "\n".join(daemon.lines)
 
-        run_stage(tmp_path, scenario, profile=EngineProfile(tick_s=0.05))
+        run_with_harness(tmp_path, scenario, profile=EngineProfile(tick_s=0.05))
 
 
 async def _stream(daemon: DaemonProcess, first: asyncio.Event) -> str:
