--- a/tests/daemon/test_server_sockets.py
+++ b/tests/daemon/test_server_sockets.py
@@ -9,8 +9,8 @@
 
 
 class TestHttpServer:
-    def test_small_answers_do_not_wait_for_acknowledgements(self) -> None:
-        """Accepted connections have Nagle's algorithm off, which delays each answer by 40 ms."""
+    def test_accepted_connections_have_no_delay(self) -> None:
+        """Accepted connections have TCP_NODELAY, as Nagle's algorithm delays responses by 40 ms."""
 
         async def scenario() -> int:
             server = HttpServer(Litestar([], logging_config=None), "127.0.0.1", 0)
--- a/tests/daemon/test_supervision.py
+++ b/tests/daemon/test_supervision.py
@@ -1,4 +1,4 @@
-"""Tests of keeping background work going."""
+"""Tests of the supervision of background tasks."""
 
 import asyncio
 from datetime import UTC, datetime
@@ -11,8 +11,8 @@
 
 
 class TestSupervise:
-    def test_failed_work_is_started_again(self) -> None:
-        """Work that raises runs again after a pause, until it returns."""
+    def test_failed_work_is_restarted(self) -> None:
+        """Work that raises is restarted after a delay, until it returns."""
         starts: list[float] = []
 
         async def work() -> None:
@@ -24,8 +24,8 @@
         assert len(starts) == 3
         assert starts[1] > starts[0]
 
-    def test_cancelled_work_stays_ended(self) -> None:
-        """Cancelling ends the work for good."""
+    def test_cancelled_work_is_not_restarted(self) -> None:
+        """Work that is cancelled is not restarted."""
 
         async def scenario() -> None:
             task = asyncio.create_task(
--- a/tests/log_lines.py
+++ b/tests/log_lines.py
@@ -1,4 +1,4 @@
-"""Collects log lines in tests, which otherwise write errors only."""
+"""Captures log lines in tests, where only errors are logged by default."""
 
 import logging
 from collections.abc import Iterator, MutableMapping
@@ -12,11 +12,11 @@
 
 @contextmanager
 def all_lines() -> Iterator[list[MutableMapping[str, Any]]]:
-    """Collect the lines of every level, which other tests leave out."""
-    former = structlog.get_config()
+    """Capture the log lines of all levels, which tests otherwise filter out."""
+    previous = structlog.get_config()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG))
     try:
         with structlog.testing.capture_logs() as lines:
             yield lines
     finally:
-        structlog.configure(**former)
+        structlog.configure(**previous)
--- a/tests/node/fleet.py
+++ b/tests/node/fleet.py
@@ -1,4 +1,4 @@
-"""Hosts over a row store in memory and engines that answer in virtual time."""
+"""Test harness of hosts with an in-memory row store and simulated engines, on virtual time."""
 
 import asyncio
 from collections import defaultdict
@@ -46,7 +46,7 @@
 
 
 class PlainRegistry:
-    """Decodes rows that hold the product's own types."""
+    """Decodes rows that contain the gateway's types as JSON."""
 
     operator_table = "operator"
     servers_table = "servers"
@@ -64,7 +64,7 @@
 
 
 class RecordedTimings:
-    """Keeps what the parts of every host measure."""
+    """Collects the measured durations of all hosts."""
 
     def __init__(self) -> None:
         self.values: dict[Timing, list[float]] = defaultdict(list)
@@ -74,7 +74,7 @@
 
 
 class Member:
-    """A host, and how it reaches the store."""
+    """A host and its view of the store, which can be cut."""
 
     def __init__(self, name: str, node: Node, view: StoreView) -> None:
         self.name = name
@@ -83,7 +83,7 @@
 
 
 class Fleet:
-    """Everything of one test; make it inside a virtual loop."""
+    """Hosts, engines and the store of a test; must be created inside the virtual-time loop."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.rng = Random(seed)
@@ -121,16 +121,16 @@
         return engine
 
     def register(self, instance: Instance) -> None:
-        """Write a server's entry."""
+        """Write a server's registration."""
         row_id = RowId(table="servers", key=instance.instance_id)
         self.store.put(row_id, msgspec.json.encode(instance))
 
     def unregister(self, name: str) -> None:
-        """Remove a server's entry."""
+        """Remove a server's registration."""
         self.store.put(RowId(table="servers", key=name), None)
 
     def configure(self, version: int = 1, **changes: Any) -> None:
-        """Write a configuration with one route for batch jobs and one for plain requests."""
+        """Write a configuration with one route, which is for batch jobs unless changed."""
         batch = Route(
             name="batch",
             host=HOST,
@@ -170,7 +170,7 @@
         self.store.put(row_id, msgspec.json.encode(configuration))
 
     def name_version(self, version: int, model: str = MODEL) -> None:
-        """Name a model's newest weights."""
+        """Publish a model's newest weight version."""
         row_id = RowId(table="operator", key=f"version/{model}")
         self.store.put(row_id, msgspec.json.encode(NamedVersion(model=model, version=version)))
 
@@ -202,16 +202,16 @@
         return member
 
     def kill(self, name: str) -> None:
-        """Kill a host's process; the host refuses connections from then on."""
+        """Kill a host's process, after which the host refuses connections."""
         self.members.pop(name).node.kill()
 
     def lose(self, name: str) -> None:
-        """Take a host's power; from then on it answers nothing."""
+        """Cut a host's power, after which it does not respond to connections."""
         self.lost.add(name)
         self.kill(name)
 
     async def connect(self, address: str) -> ProbeResult:
-        """Answer as the hosts would; implements the PeerProbe port."""
+        """Return how a host responds to a connection; implements the PeerProbe port."""
         name = address.partition(":")[0]
         self.asked.append(name)
         if name in self.lost:
@@ -221,7 +221,7 @@
         return ProbeResult.ACCEPTED if name in self.members else ProbeResult.REFUSED
 
     async def start(self, *, hosts: int = 2, engines: int = 2, **changes: Any) -> None:
-        """Start hosts and engines and wait until the hosts are ready."""
+        """Start engines and hosts, and wait until the hosts are ready."""
         self.configure(**changes)
         for index in range(engines):
             self.add_engine(f"engine-{index}")
@@ -231,18 +231,18 @@
 
     async def until(self, condition: Callable[[], Any], timeout_s: float = 30.0) -> float:
         """Wait for a condition and return how long it took, in seconds."""
-        began_s = self.clock.monotonic_s()
+        started_s = self.clock.monotonic_s()
         while not condition():
-            assert self.clock.monotonic_s() - began_s < timeout_s, "the condition never held"
+            assert self.clock.monotonic_s() - started_s < timeout_s, "timed out waiting"
             await self.clock.sleep(0.01)
-        return self.clock.monotonic_s() - began_s
+        return self.clock.monotonic_s() - started_s
 
     async def submit(self, member: Member, submission: BatchSubmission) -> None:
-        """Submit a job at a host."""
+        """Submit a job to a host."""
         await member.node.jobs.submit(submission, self.clock.monotonic_s() + 5.0)
 
     async def owner_of(self, job_id: str) -> str:
-        """Return the host that runs a job, once there is one."""
+        """Wait until a job has an owner and return the owner's host."""
 
         def owner() -> str:
             row = self.store.row(RowId(table=JOBS_TABLE, part=job_id, key="job"))
@@ -254,25 +254,25 @@
         return owner()
 
     async def results(self, member: Member, job_id: str) -> list[ItemResult]:
-        """Read all listed results of a job at a host."""
-        found: list[ItemResult] = []
+        """Read all listed results of a job from a host."""
+        results: list[ItemResult] = []
         while True:
-            page = await member.node.jobs.results(job_id, len(found), 0.0)
+            page = await member.node.jobs.results(job_id, len(results), 0.0)
             if not page.results:
-                return found
-            found += page.results
+                return results
+            results += page.results
 
     async def collect(
         self, member: Member, submission: BatchSubmission, timeout_s: float = 60.0
     ) -> list[ItemResult]:
-        """Read a job's results until all of its items are listed."""
-        found: list[ItemResult] = []
+        """Read a job's results from a host until all of its items are listed."""
+        results: list[ItemResult] = []
         ends_at_s = self.clock.monotonic_s() + timeout_s
-        while len(found) < len(submission.items):
-            assert self.clock.monotonic_s() < ends_at_s, f"{len(found)} items were listed in time"
-            page = await member.node.jobs.results(submission.job_id, len(found), 1.0)
-            found += page.results
-        return found
+        while len(results) < len(submission.items):
+            assert self.clock.monotonic_s() < ends_at_s, f"{len(results)} items were listed in time"
+            page = await member.node.jobs.results(submission.job_id, len(results), 1.0)
+            results += page.results
+        return results
 
     def stop(self) -> None:
         """Kill every host."""
@@ -292,7 +292,7 @@
     step: int = 1,
     prefix: str = "",
 ) -> BatchSubmission:
-    """Return a job; ``events`` is of each item, or of each group in turn."""
+    """Return a job; ``events`` is the number of events per item, or one number for each group."""
     items = []
     for group in range(groups):
         count = events if isinstance(events, int) else events[group]
@@ -321,7 +321,7 @@
 
 
 def check_whole(submission: BatchSubmission, results: Sequence[ItemResult]) -> None:
-    """Check that each item is listed once, with exactly its own text."""
+    """Check that each item is listed exactly once, with its complete text."""
     events = {item.item_id: int(item.body) for item in submission.items}
     assert sorted(result.item_id for result in results) == sorted(events)
     for result in results:
@@ -329,9 +329,9 @@
 
 
 def run_fleet(work: Callable[[Fleet], Awaitable[None]], *, seed: int = 1) -> None:
-    """Run *work* with a fresh fleet on virtual time."""
+    """Run *work* with a new fleet on virtual time."""
 
-    async def whole() -> None:
+    async def run_and_stop() -> None:
         fleet = Fleet(seed=seed)
         try:
             await work(fleet)
@@ -339,4 +339,4 @@
             fleet.stop()
             await asyncio.sleep(0.01)
 
-    run_virtual(whole())
+    run_virtual(run_and_stop())
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of how soon a lost owner's jobs go on, and that living owners keep theirs."""
+"""Tests of how soon jobs of a failed owner are taken over, and that live owners keep theirs."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 async def run_job(
     fleet: Fleet, *, hosts: int = 5, events: int, before_s: float = 1.0
 ) -> tuple[BatchSubmission, str]:
-    """Start a fleet and a job, and return the job and its owner after some time."""
+    """Start a fleet and a job, wait for *before_s*, and return the job and its owner."""
     await fleet.start(hosts=hosts, engines=3)
     first, *_ = fleet.members.values()
     submission = job(groups=2, events=events)
@@ -29,8 +29,8 @@
 
 class TestLostOwner:
     @pytest.mark.parametrize("seed", range(4))
-    def test_killed_daemon_is_followed_within_about_a_second(self, seed: int) -> None:
-        """A host that refuses connections has no daemon; its jobs go on without further silence."""
+    def test_job_of_killed_daemon_is_taken_over_within_1_2_s(self, seed: int) -> None:
+        """If the owner's host refuses connections, no longer silence is awaited for a takeover."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=150, before_s=1.0 + seed * 0.13)
@@ -42,8 +42,8 @@
 
         run_fleet(work, seed=seed)
 
-    def test_owner_that_is_killed_as_the_store_returns(self) -> None:
-        """The store is away for 7 s and the owner is killed just after: no time is lost twice."""
+    def test_owner_killed_just_after_a_store_outage(self) -> None:
+        """An owner killed just after a store outage of 7 s is replaced as soon as without one."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=400)
@@ -60,8 +60,10 @@
         run_fleet(work)
 
     @pytest.mark.parametrize("outage_s", [0.0, 7.0])
-    def test_host_without_power_is_followed_soon(self, outage_s: float) -> None:
-        """Neither beats nor answers come: a shorter silence is enough, also after an outage."""
+    def test_job_of_unreachable_host_is_taken_over_after_the_shorter_silence(
+        self, outage_s: float
+    ) -> None:
+        """A host without heartbeats that does not respond to probes is given a shorter silence."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=400)
@@ -77,8 +79,8 @@
 
         run_fleet(work)
 
-    def test_silent_owner_that_answers_its_peers_is_given_time(self) -> None:
-        """An owner that cannot write beats but lives keeps its job for the longer silence."""
+    def test_silent_owner_that_accepts_connections_is_given_the_longer_silence(self) -> None:
+        """An owner that cannot write heartbeats but accepts connections keeps its job longer."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=150)
@@ -89,9 +91,9 @@
         run_fleet(work)
 
 
-class TestLivingOwner:
-    def test_outage_takes_no_job_from_a_living_owner(self) -> None:
-        """While the store is away owners are asked, answer, and keep their jobs."""
+class TestLiveOwner:
+    def test_store_outage_takes_no_job_from_a_live_owner(self) -> None:
+        """During a store outage owners are probed, accept connections and keep their jobs."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, hosts=4, events=400, before_s=0.0)
@@ -106,15 +108,15 @@
 
         run_fleet(work)
 
-    def test_few_hosts_ask(self) -> None:
-        """In a fleet of many hosts only the first claimants of a job ask, a few times a second."""
+    def test_few_hosts_probe(self) -> None:
+        """In a large fleet only the first claimants of a job probe its owner, at a bounded rate."""
 
         async def work(fleet: Fleet) -> None:
             await run_job(fleet, hosts=20, events=400)
             fleet.store.faults.down = True
             await fleet.clock.sleep(4.0)
             fleet.store.faults.down = False
-            # Three hosts, each 0.3 s, for 3.2 s.
+            # Three hosts probe every 0.3 s for 3.2 s.
             assert 0 < len(fleet.asked) <= 3 * 11
 
         run_fleet(work)
--- a/tests/node/test_timings.py
+++ b/tests/node/test_timings.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts measure of batch jobs and loads."""
+"""Tests of the durations that hosts measure for batch jobs and loads."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 class TestTimings:
     def test_items_groups_and_listings_are_measured(self) -> None:
-        """Each item's wait and each group's completion are measured once, listings by commit."""
+        """Each item's wait, each group's completion and each commit of results is measured."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
@@ -26,8 +26,8 @@
 
         run_fleet(work)
 
-    def test_takeover_counts_no_group_twice(self) -> None:
-        """A group whose results were listed by two owners is measured once, by the second."""
+    def test_takeover_measures_no_group_twice(self) -> None:
+        """A group whose results were listed by two owners is measured only by the second."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -43,7 +43,7 @@
         run_fleet(work)
 
     def test_loads_are_measured(self) -> None:
-        """Each load is measured from its order to the engine's report."""
+        """Each load is measured from its order to the engine's report of the version."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=2)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""Tests that the catalogue of log events says what the code writes."""
+"""Tests that the catalogue of log events matches the log lines that the code writes."""
 
 import ast
 from collections import defaultdict
@@ -18,7 +18,7 @@
 
 
 def log_calls() -> Iterator[tuple[str, set[str], str]]:
-    """Yield event, fields and place of every call of a log in the sources."""
+    """Yield the event, fields and location of every log call in the sources."""
     for path in sorted((ROOT / "src").rglob("*.py")):
         tree = ast.parse(path.read_text(encoding="utf-8"))
         for node in ast.walk(tree):
@@ -38,7 +38,7 @@
 
 
 def _keys(tree: ast.Module, call: ast.expr) -> set[str]:
-    """Return the keys of the dictionary that a function of the same module returns."""
+    """Return the keys of the dictionary literal that a called function of the module returns."""
     name = ast.unparse(call).partition("(")[0]
     found = next(n for n in tree.body if isinstance(n, ast.FunctionDef) and n.name == name)
     returned = next(n for n in ast.walk(found) if isinstance(n, ast.Return))
@@ -48,7 +48,7 @@
 
 class TestCatalogue:
     def test_every_call_is_listed(self) -> None:
-        """Each event that the code writes is listed, with each of its fields."""
+        """Every event in a log call is in the catalogue, with all fields of the call."""
         wrong = [
             (
                 f"{place}: {event}: {sorted(fields - set(EVENTS[event].fields))}"
@@ -61,7 +61,7 @@
         assert not wrong
 
     def test_nothing_else_is_listed(self) -> None:
-        """Each event and field of the catalogue is written somewhere, and no event twice."""
+        """Every event and field of the catalogue is written; no event is in both parts of it."""
         written: dict[str, set[str]] = defaultdict(set)
         for event, fields, _ in log_calls():
             written[event] |= fields
@@ -70,20 +70,20 @@
         used = {field for event in EVENTS.values() for field in event.fields}
         assert used == set(LineFields.__struct_fields__)
 
-    def test_no_event_hides_a_line_s_own_fields(self) -> None:
-        """The fields that every line has are not fields of an event, which would replace them."""
+    def test_no_event_overrides_common_fields(self) -> None:
+        """No event has a field that all lines have, as it would replace that field."""
         own = {"event", "level", "timestamp", "host", "omitted_before"}
         assert not [name for name, event in EVENTS.items() if own & set(event.fields)]
 
     def test_committed_page_is_current(self) -> None:
-        """The operators' page is what the catalogue renders."""
+        """The committed operators' page is equal to the generated one."""
         page = ROOT / "docs" / "operators" / EVENTS_PAGE
         assert page.read_text(encoding="utf-8") == render_events()
 
 
 class TestLinesOfRunningHosts:
-    def test_fields_have_the_types_that_are_listed(self) -> None:
-        """Over new weights, a killed host and a lost store every line has the listed types."""
+    def test_fields_have_the_listed_types(self) -> None:
+        """Lines written during loads, a host failure and a store failure have the listed types."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3, engines=3)
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Tests that logging never waits and stays bounded."""
+"""Tests of the non-blocking log output and the rate limit of log events."""
 
 import os
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 def limited(limiter: LineLimiter, name: str) -> dict[str, Any] | None:
-    """Return a line that passed the limiter, None for one that did not."""
+    """Pass a line through the limiter; return None if the limiter dropped it."""
     try:
         return dict(limiter(None, "info", {"event": name}))
     except structlog.DropEvent:
@@ -18,8 +18,8 @@
 
 
 class TestOutput:
-    def test_reader_that_stalls_blocks_nothing(self) -> None:
-        """With a full pipe lines wait, then are dropped and counted; the rest comes through."""
+    def test_stalled_reader_does_not_block(self) -> None:
+        """With a full pipe, lines are queued, then dropped and counted; the others are written."""
         reading, writing = os.pipe()
         try:
             output = NonBlockingOutput(writing)
@@ -44,7 +44,7 @@
             os.close(writing)
 
     def test_lines_without_a_reader_are_counted(self) -> None:
-        """A pipe that nobody reads any more costs lines, not the process."""
+        """Lines written to a pipe whose reader has closed are dropped and counted."""
         reading, writing = os.pipe()
         os.close(reading)
         try:
@@ -56,8 +56,8 @@
 
 
 class TestLimiter:
-    def test_flood_of_one_event_is_cut_and_counted(self) -> None:
-        """Beyond its rate an event's lines are left out, and the next one says how many."""
+    def test_flood_of_an_event_is_limited_and_counted(self) -> None:
+        """Lines beyond an event's rate are dropped, and the next line has their number."""
         now_s = 0.0
         limiter = LineLimiter(lambda: now_s)
         lines = [limited(limiter, "flood") for _ in range(1000)]
@@ -70,8 +70,8 @@
         assert limiter.omitted == {"flood": 600}
 
     @pytest.mark.parametrize("rate_per_s", [10, 90])
-    def test_usual_rates_are_whole(self, rate_per_s: int) -> None:
-        """An event below its rate loses no line, however long it goes on."""
+    def test_rates_below_the_limit_lose_no_lines(self, rate_per_s: int) -> None:
+        """No lines of an event below the rate limit are dropped over a long time."""
         now_s = 0.0
         limiter = LineLimiter(lambda: now_s)
         for _ in range(100 * rate_per_s):
