--- a/src/verbenawind/log_output.py
+++ b/src/verbenawind/log_output.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-__all__ = ["LineLimiter", "NonBlockingOutput"]
+__all__ = ["EventRateLimiter", "NonBlockingOutput"]
 
 # Limit of the queue for a slow reader; when it is full, new lines are dropped and counted.
 _MAX_QUEUED_LINES = 4096
@@ -92,7 +92,7 @@
         self.omitted = 0
 
 
-class LineLimiter:
+class EventRateLimiter:
     """A structlog processor that limits the rate of each event and reports the omitted lines.
 
     Args:
--- a/src/verbenawind/logs.py
+++ b/src/verbenawind/logs.py
@@ -9,7 +9,7 @@
 import structlog
 
 from verbenawind.decisions import keep_decisions
-from verbenawind.log_output import LineLimiter, NonBlockingOutput
+from verbenawind.log_output import EventRateLimiter, NonBlockingOutput
 
 __all__ = ["LogCounts", "configure_logs"]
 
@@ -24,7 +24,7 @@
 
     __slots__ = ("_limiter", "_output")
 
-    def __init__(self, output: NonBlockingOutput, limiter: LineLimiter) -> None:
+    def __init__(self, output: NonBlockingOutput, limiter: EventRateLimiter) -> None:
         self._output = output
         self._limiter = limiter
 
@@ -52,7 +52,7 @@
         Counts of dropped and omitted lines, for the metrics.
     """
     output = NonBlockingOutput(sys.stdout.fileno())
-    limiter = LineLimiter(time.monotonic)
+    limiter = EventRateLimiter(time.monotonic)
     threshold = logging.getLevelNamesMapping()[level.upper()]
     renderer: structlog.typing.Processor
     if sys.stdout.isatty():
--- a/src/verbenawind/platform/store.py
+++ b/src/verbenawind/platform/store.py
@@ -107,7 +107,7 @@
         self.relay_client: RelayClient | None = None
         self.calls: dict[str, int] = {}
 
-    def redirect(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Use another address for direct calls from now on."""
         self._address = address
 
--- a/tests/log_lines.py
+++ b/tests/log_lines.py
@@ -7,11 +7,11 @@
 
 import structlog
 
-__all__ = ["all_lines"]
+__all__ = ["capture_log_lines"]
 
 
 @contextmanager
-def all_lines() -> Iterator[list[MutableMapping[str, Any]]]:
+def capture_log_lines() -> Iterator[list[MutableMapping[str, Any]]]:
     """Capture the log lines of all levels, which tests otherwise filter out."""
     previous = structlog.get_config()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG))
--- a/tests/on_platform/test_caller_app.py
+++ b/tests/on_platform/test_caller_app.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from log_lines import all_lines
+from log_lines import capture_log_lines
 from on_platform.scene import HOST, Scene, run_scene, submission
 
 
@@ -256,7 +256,7 @@
             response = await scene.call("POST", "/batch/j", submission(), request_id="j")
             assert response.status == 202
             scene.store.busy = True
-            with all_lines() as lines:
+            with capture_log_lines() as lines:
                 refused = await scene.call("GET", "/api/lots/j?after=0", b"")
             assert refused.status == 503
             (line,) = [line for line in lines if line["event"] == "request_failed"]
@@ -319,7 +319,7 @@
 
         async def work(scene: Scene) -> None:
             await scene.until(lambda: scene.daemons[1].node.peer_addresses())
-            scene.daemons[1].store.redirect("127.0.0.1:9")
+            scene.daemons[1].store.set_address("127.0.0.1:9")
             response = await scene.call("POST", "/batch/j", submission(), request_id="j", daemon=1)
             assert response.status == 202
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from log_lines import all_lines
+from log_lines import capture_log_lines
 from node.fleet import MODEL, Fleet, check_whole, job, run_fleet
 from verbenawind.log_events import EVENTS, PLATFORM_EVENTS, PRODUCT_EVENTS, LineFields
 from verbenawind.reference import EVENTS_PAGE, render_events
@@ -104,7 +104,7 @@
                 check_whole(submission, await fleet.collect(reader, submission))
             await next(iter(fleet.members.values())).node.jobs.end("job-4")
 
-        with all_lines() as lines:
+        with capture_log_lines() as lines:
             run_fleet(work)
         assert {line["event"] for line in lines} >= {
             "job_accepted",
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -6,10 +6,10 @@
 import pytest
 import structlog
 
-from verbenawind.log_output import LineLimiter, NonBlockingOutput
+from verbenawind.log_output import EventRateLimiter, NonBlockingOutput
 
 
-def limited(limiter: LineLimiter, name: str) -> dict[str, Any] | None:
+def limited(limiter: EventRateLimiter, name: str) -> dict[str, Any] | None:
     """Pass a line through the limiter; return None if the limiter dropped it."""
     try:
         return dict(limiter(None, "info", {"event": name}))
@@ -59,7 +59,7 @@
     def test_flood_of_an_event_is_limited_and_counted(self) -> None:
         """Lines beyond an event's rate are dropped, and the next line has their number."""
         now_s = 0.0
-        limiter = LineLimiter(lambda: now_s)
+        limiter = EventRateLimiter(lambda: now_s)
         lines = [limited(limiter, "flood") for _ in range(1000)]
         written = [line for line in lines if line is not None]
         assert len(written) == 400
@@ -73,7 +73,7 @@
     def test_rates_below_the_limit_lose_no_lines(self, rate_per_s: int) -> None:
         """No lines of an event below the rate limit are dropped over a long time."""
         now_s = 0.0
-        limiter = LineLimiter(lambda: now_s)
+        limiter = EventRateLimiter(lambda: now_s)
         for _ in range(100 * rate_per_s):
             now_s += 1 / rate_per_s
             assert limited(limiter, "usual") is not None
