--- a/tests/node/fleet.py
+++ b/tests/node/fleet.py
@@ -91,8 +91,8 @@
         self.store = MemoryRowStore(self.rng)
         self.engines = OpaqueEngines()
         self.members: dict[str, Member] = {}
-        self.lost: set[str] = set()
-        self.asked: list[str] = []
+        self.powered_off: set[str] = set()
+        self.probed_hosts: list[str] = []
         self.timings = RecordedTimings()
 
     def add_engine(
@@ -205,16 +205,16 @@
         """Kill a host's process, after which the host refuses connections."""
         self.members.pop(name).node.kill()
 
-    def lose(self, name: str) -> None:
+    def power_off(self, name: str) -> None:
         """Cut a host's power, after which it does not respond to connections."""
-        self.lost.add(name)
+        self.powered_off.add(name)
         self.kill(name)
 
     async def connect(self, address: str) -> ProbeResult:
         """Return how a host responds to a connection; implements the PeerProbe port."""
         name = address.partition(":")[0]
-        self.asked.append(name)
-        if name in self.lost:
+        self.probed_hosts.append(name)
+        if name in self.powered_off:
             await asyncio.sleep(0.3)
             return ProbeResult.NONE
         await asyncio.sleep(0.002)
@@ -320,7 +320,7 @@
     )
 
 
-def check_whole(submission: BatchSubmission, results: Sequence[ItemResult]) -> None:
+def check_complete(submission: BatchSubmission, results: Sequence[ItemResult]) -> None:
     """Check that each item is listed exactly once, with its complete text."""
     events = {item.item_id: int(item.body) for item in submission.items}
     assert sorted(result.item_id for result in results) == sorted(events)
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from node.fleet import HOST, MODEL, STATUS_S, Fleet, check_whole, job, run_fleet
+from node.fleet import HOST, MODEL, STATUS_S, Fleet, check_complete, job, run_fleet
 from verbenawind.batches import JobState, ResultState
 from verbenawind.errors import Outcome, StoreUnavailable, UnknownResource
 
@@ -20,7 +20,7 @@
             submission = job()
             await fleet.submit(first, submission)
             results = await fleet.collect(second, submission)
-            check_whole(submission, results)
+            check_complete(submission, results)
             assert {result.versions for result in results} == {(1,)}
 
         run_fleet(work)
@@ -34,7 +34,7 @@
             submission = job()
             await fleet.submit(first, submission)
             await fleet.submit(second, submission)
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             await fleet.submit(second, submission)
             starts = sum(len(engine.started) for engine in fleet.engines.engines.values())
             assert starts == len(submission.items)
@@ -192,7 +192,7 @@
             fleet.engines.engines["engine-0"].break_after = 4
             submission = job(events=20)
             await fleet.submit(first, submission)
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             resumed = [start for start in fleet.engines.engines["engine-1"].started if start[2]]
             assert resumed and all(after == 4 for _, _, after in resumed)
 
@@ -209,7 +209,7 @@
             await fleet.clock.sleep(0.4)
             fleet.engines.engines["engine-0"].dark = True
             began_s = fleet.clock.monotonic_s()
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             assert fleet.clock.monotonic_s() - began_s < 3.0
 
         run_fleet(work)
@@ -224,7 +224,7 @@
             await fleet.submit(first, submission)
             await fleet.clock.sleep(0.5)
             fleet.engines.engines["engine-0"].pace_s = 0.3
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             assert first.node.runner.counts.moved > 0
             # 60 events take 1.8 s at the usual 0.03 s per event, and 18 s on the slow engine.
             assert fleet.clock.monotonic_s() < 8.0
@@ -241,7 +241,7 @@
             await fleet.clock.sleep(0.5)
             submission = job()
             await fleet.submit(first, submission)
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             assert not fleet.engines.engines["engine-0"].started
 
         run_fleet(work)
@@ -263,7 +263,7 @@
             second = next(iter(fleet.members.values()))
             began_s = fleet.clock.monotonic_s()
             results = await fleet.collect(second, submission)
-            check_whole(submission, results)
+            check_complete(submission, results)
             assert results[: len(listed)] == listed
             assert fleet.clock.monotonic_s() - began_s < 7.0
 
@@ -289,7 +289,7 @@
                 )
             )
             assert took_s < 2.0
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
 
         run_fleet(work)
 
@@ -308,7 +308,7 @@
             results = await fleet.collect(second, submission)
             first.view.cut = False
             await fleet.clock.sleep(4.0)
-            check_whole(submission, results)
+            check_complete(submission, results)
             assert await fleet.results(second, submission.job_id) == results
             assert not first.node.runner.busy
 
@@ -330,7 +330,7 @@
                 fleet.add_host(name)
             second = fleet.members["host-1"]
             await fleet.until(lambda: second.node.ready)
-            check_whole(submission, await fleet.collect(second, submission, timeout_s=10.0))
+            check_complete(submission, await fleet.collect(second, submission, timeout_s=10.0))
 
         run_fleet(work)
 
@@ -350,7 +350,7 @@
             submission = job(groups=6, events=(5, 10, 20, 30, 40, 50))
             await fleet.submit(first, submission)
             results = await fleet.collect(second, submission)
-            check_whole(submission, results)
+            check_complete(submission, results)
             await fleet.clock.sleep(5.0)
             assert await fleet.results(second, submission.job_id) == results
 
@@ -370,7 +370,7 @@
             await fleet.clock.sleep(5.0)
             fleet.store.faults.down = False
             began_s = fleet.clock.monotonic_s()
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
             assert fleet.clock.monotonic_s() - began_s < 2.0
 
         run_fleet(work)
@@ -390,7 +390,7 @@
             await fleet.clock.sleep(6.0)
             fleet.store.faults.lost_answers = 0.0
             fleet.store.faults.down = False
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
             starts = sum(len(engine.started) for engine in fleet.engines.engines.values())
             assert starts == len(submission.items)
 
@@ -428,7 +428,7 @@
             submission = job()
             await fleet.submit(first, submission)
             await fleet.until(lambda: second.node.newest.get(MODEL) == 2)
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
             assert second.node.routes is not None and second.node.routes.knows_host(HOST)
 
         run_fleet(work)
@@ -445,7 +445,7 @@
             await fleet.submit(first, submission)
             await fleet.clock.sleep(0.3)
             assert [engine.running for engine in fleet.engines.engines.values()] == [4, 4, 4, 4]
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
 
         run_fleet(work)
 
@@ -469,7 +469,7 @@
             await owner.node.hand_over()
             fleet.store.faults.slow_s = 0.0
             other = second if owner is not second else first
-            check_whole(submission, await fleet.collect(other, submission))
+            check_complete(submission, await fleet.collect(other, submission))
 
         run_fleet(work)
 
@@ -484,7 +484,7 @@
             await fleet.submit(first, submission)
             stored = first.node.job_registry.get(submission.job_id)
             assert stored is not None and stored.record.owner == ""
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
             assert fleet.clock.monotonic_s() < 4.0
 
         run_fleet(work)
@@ -502,7 +502,7 @@
             await fleet.clock.sleep(3.0)
             fleet.kill(await fleet.owner_of(submission.job_id))
             second = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
             resumed = [
                 after
                 for engine in fleet.engines.engines.values()
@@ -541,7 +541,7 @@
                 fleet.add_host(name)
             host = fleet.members["host-0"]
             await fleet.until(lambda: host.node.ready)
-            check_whole(submission, await fleet.collect(host, submission))
+            check_complete(submission, await fleet.collect(host, submission))
             resumed = [
                 after
                 for engine in fleet.engines.engines.values()
@@ -568,7 +568,7 @@
             partial = {name: len(work.partial.events) for name, work in owned.unfinished.items()}
             await owner.node.hand_over()
             other = next(m for m in fleet.members.values() if m is not owner)
-            check_whole(submission, await fleet.collect(other, submission))
+            check_complete(submission, await fleet.collect(other, submission))
             resumed = {
                 name: after
                 for engine in fleet.engines.engines.values()
@@ -592,7 +592,7 @@
             await fleet.clock.sleep(2.0)
             fleet.kill(await fleet.owner_of(submission.job_id))
             second = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(second, submission))
+            check_complete(submission, await fleet.collect(second, submission))
 
         for seed in range(6):
             run_fleet(work, seed=seed)
@@ -633,6 +633,6 @@
             assert fleet.store.table_parts("batch-jobs") == [submission.job_id]
             for engine in fleet.engines.engines.values():
                 engine.dark = False
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
 
         run_fleet(work)
--- a/tests/node/test_orders.py
+++ b/tests/node/test_orders.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from node.fleet import MODEL, ORDER_GAP_S, Fleet, check_whole, job, run_fleet
+from node.fleet import MODEL, ORDER_GAP_S, Fleet, check_complete, job, run_fleet
 
 
 def accepted_orders(fleet: Fleet, name: str) -> list[tuple[float, int]]:
@@ -31,7 +31,7 @@
                 submission = job(f"job-{version}", min_version=version - 1, step=version)
                 await fleet.submit(first, submission)
                 results = await fleet.collect(first, submission)
-                check_whole(submission, results)
+                check_complete(submission, results)
                 assert all(min(result.versions) >= version - 1 for result in results)
                 await fleet.clock.sleep(1.0)
             loads = sum(len(engine.orders) for engine in fleet.engines.engines.values())
@@ -52,7 +52,7 @@
                 submission = job(f"job-{version}", min_version=version, groups=6)
                 await fleet.submit(first, submission)
                 results = await fleet.collect(first, submission)
-                check_whole(submission, results)
+                check_complete(submission, results)
                 assert {result.versions for result in results} == {(version,)}
                 await fleet.clock.sleep(4.0)
             engines = fleet.engines.engines.values()
@@ -71,7 +71,7 @@
             await fleet.clock.sleep(0.5)
             fleet.name_version(2)
             results = await fleet.collect(first, submission)
-            check_whole(submission, results)
+            check_complete(submission, results)
             assert all(len(result.versions) == 1 for result in results)
 
         run_fleet(work)
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from node.fleet import Fleet, check_whole, job, run_fleet
+from node.fleet import Fleet, check_complete, job, run_fleet
 from verbenawind.batches import BatchSubmission
 
 
@@ -38,7 +38,7 @@
             took_s = await fleet.until(lambda: other_owner(fleet, submission.job_id, owner))
             assert took_s < 1.2
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
 
         run_fleet(work, seed=seed)
 
@@ -55,7 +55,7 @@
             took_s = await fleet.until(lambda: other_owner(fleet, submission.job_id, owner))
             assert took_s < 1.2
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
 
         run_fleet(work)
 
@@ -71,11 +71,11 @@
             await fleet.clock.sleep(outage_s)
             fleet.store.faults.down = False
             await fleet.clock.sleep(0.07)
-            fleet.lose(owner)
+            fleet.power_off(owner)
             took_s = await fleet.until(lambda: other_owner(fleet, submission.job_id, owner))
             assert took_s < 1.9
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
 
         run_fleet(work)
 
@@ -99,10 +99,10 @@
             submission, owner = await run_job(fleet, hosts=4, events=400, before_s=0.0)
             fleet.store.faults.down = True
             await fleet.clock.sleep(6.0)
-            assert owner in fleet.asked
+            assert owner in fleet.probed_hosts
             fleet.store.faults.down = False
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
             known = reader.node.job_registry.get(submission.job_id)
             assert known is not None and known.record.epoch == 1
 
@@ -117,6 +117,6 @@
             await fleet.clock.sleep(4.0)
             fleet.store.faults.down = False
             # Three hosts probe every 0.3 s for 3.2 s.
-            assert 0 < len(fleet.asked) <= 3 * 11
+            assert 0 < len(fleet.probed_hosts) <= 3 * 11
 
         run_fleet(work)
--- a/tests/node/test_timings.py
+++ b/tests/node/test_timings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from node.fleet import MODEL, Fleet, check_whole, job, run_fleet
+from node.fleet import MODEL, Fleet, check_complete, job, run_fleet
 from verbenawind.timings import Timing
 
 
@@ -15,7 +15,7 @@
             first, _ = fleet.members.values()
             submission = job(groups=3, events=(5, 40, 10))
             await fleet.submit(first, submission)
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             values = fleet.timings.values
             assert len(values[Timing.ITEM_WAIT]) == len(submission.items)
             completions = values[Timing.GROUP_COMPLETION]
@@ -37,7 +37,7 @@
             await fleet.until(lambda: fleet.timings.values[Timing.GROUP_COMPLETION])
             fleet.kill(await fleet.owner_of(submission.job_id))
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
             assert len(fleet.timings.values[Timing.GROUP_COMPLETION]) == 4
 
         run_fleet(work)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -9,7 +9,7 @@
 import pytest
 
 from log_lines import capture_log_lines
-from node.fleet import MODEL, Fleet, check_whole, job, run_fleet
+from node.fleet import MODEL, Fleet, check_complete, job, run_fleet
 from verbenawind.log_events import EVENTS, PLATFORM_EVENTS, PRODUCT_EVENTS, LineFields
 from verbenawind.reference import EVENTS_PAGE, render_events
 
@@ -101,7 +101,7 @@
                     await fleet.clock.sleep(1.0)
                     second.view.cut = False
                 reader = next(m for m in fleet.members.values() if m is not second)
-                check_whole(submission, await fleet.collect(reader, submission))
+                check_complete(submission, await fleet.collect(reader, submission))
             await next(iter(fleet.members.values())).node.jobs.end("job-4")
 
         with capture_log_lines() as lines:
