--- a/src/verbenawind/log_events.py
+++ b/src/verbenawind/log_events.py
@@ -229,7 +229,7 @@
         Meta(description="Weight versions of a text, or version by model."),
     ] = []
     view_age_s: Annotated[float, Meta(description="Age of the view of hosts.")] = 0.0
-    void: Annotated[Any, Meta(description="Units excluded from the delivery.")] = None
+    void: Annotated[Any, Meta(description="Number of units excluded from the delivery.")] = None
     waited_s: Annotated[_Seconds, Meta(description="Time in the queue.")] = 0.0
     what: Annotated[str, Meta(description="The store call.")] = ""
     work: Annotated[str, Meta(description="Name of the background task.")] = ""
@@ -250,7 +250,7 @@
 # Events of platform daemons.
 PLATFORM_EVENTS: Mapping[str, LogEvent] = {
     "started": _event("A daemon has started serving.", "owner callers_address zone store_address"),
-    "stopping": _event("SIGTERM was received; the daemon hands over its work.", "grace_s"),
+    "stopping": _event("SIGTERM or SIGINT was received; no new work is accepted.", "grace_s"),
     "stopped": _event("The daemon has stopped.", "took_s"),
     "settings_reloaded": _event(
         "SIGHUP was received and the settings file is valid.", "changed_until_restart"
--- a/src/verbenawind/platform/exchange.py
+++ b/src/verbenawind/platform/exchange.py
@@ -14,7 +14,7 @@
 
 # A body that is too large is read and discarded up to this multiple of the limit.
 _DISCARD_FACTOR = 4
-# Headers that apply to a single connection, and those that the HTTP stack sets itself.
+# Headers that apply to a single connection, and those that are set anew for each connection.
 _HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -36,9 +36,9 @@
                     break
                 received += chunk
                 output.drain()
-            whole = received.decode().split("\n")[:-1]
-            assert set(whole) == {"x" * 999}
-            assert len(whole) + output.dropped == 6000
+            complete_lines = received.decode().split("\n")[:-1]
+            assert set(complete_lines) == {"x" * 999}
+            assert len(complete_lines) + output.dropped == 6000
         finally:
             os.close(reading)
             os.close(writing)
