--- a/tests/node/test_timings.py
+++ b/tests/node/test_timings.py
@@ -1,21 +1,21 @@
-"""Tests of what hosts measure of batch jobs and loads."""
+"""Tests of the durations that hosts measure for batch jobs and loads."""
 
 import pytest
 
-from node.fleet import MODEL, Fleet, check_whole, job, run_fleet
+from node.fleet import MODEL, Fleet, check_complete, job, run_fleet
 from verbenawind.timings import Timing
 
 
 class TestTimings:
     def test_items_groups_and_listings_are_measured(self) -> None:
-        """Each item's wait and each group's completion are measured once, listings by commit."""
+        """Each item's wait, each group's completion and each commit of results is measured."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start()
             first, _ = fleet.members.values()
             submission = job(groups=3, events=(5, 40, 10))
             await fleet.submit(first, submission)
-            check_whole(submission, await fleet.collect(first, submission))
+            check_complete(submission, await fleet.collect(first, submission))
             values = fleet.timings.values
             assert len(values[Timing.ITEM_WAIT]) == len(submission.items)
             completions = values[Timing.GROUP_COMPLETION]
@@ -26,8 +26,8 @@
 
         run_fleet(work)
 
-    def test_takeover_counts_no_group_twice(self) -> None:
-        """A group whose results were listed by two owners is measured once, by the second."""
+    def test_takeover_measures_no_group_twice(self) -> None:
+        """A group whose results were listed by two owners is measured only by the second."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=3)
@@ -37,13 +37,13 @@
             await fleet.until(lambda: fleet.timings.values[Timing.GROUP_COMPLETION])
             fleet.kill(await fleet.owner_of(submission.job_id))
             reader = next(iter(fleet.members.values()))
-            check_whole(submission, await fleet.collect(reader, submission))
+            check_complete(submission, await fleet.collect(reader, submission))
             assert len(fleet.timings.values[Timing.GROUP_COMPLETION]) == 4
 
         run_fleet(work)
 
     def test_loads_are_measured(self) -> None:
-        """Each load is measured from its order to the engine's report."""
+        """Each load is measured from its order to the engine's report of the version."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(engines=2)
