--- a/src/verbenawind/decisions.py
+++ b/src/verbenawind/decisions.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-__all__ = ["DecisionRecord", "keep_decisions", "record_decisions_in"]
+__all__ = ["DecisionRecord", "record_decision_line", "record_decisions_in"]
 
 _MAX_LINES_PER_REQUEST = 64
 _RECORD: ContextVar["DecisionRecord | None"] = ContextVar("decision_record", default=None)
@@ -46,7 +46,7 @@
     _RECORD.set(record)
 
 
-def keep_decisions(
+def record_decision_line(
     _logger: Any, _method: str, line: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     """Record each line that has a request id; a structlog processor."""
--- a/src/verbenawind/logs.py
+++ b/src/verbenawind/logs.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from verbenawind.decisions import keep_decisions
+from verbenawind.decisions import record_decision_line
 from verbenawind.log_output import EventRateLimiter, NonBlockingOutput
 
 __all__ = ["LogCounts", "configure_logs"]
@@ -64,7 +64,7 @@
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            keep_decisions,
+            record_decision_line,
             _LevelFilter(threshold),
             limiter,
             structlog.processors.format_exc_info,
--- a/tests/api/test_explain.py
+++ b/tests/api/test_explain.py
@@ -11,7 +11,7 @@
 
 from loopback import DOCUMENT, OPERATOR_TOKEN, TEST_TIMEOUT_S
 from verbenawind.daemon import Daemon
-from verbenawind.decisions import DecisionRecord, keep_decisions
+from verbenawind.decisions import DecisionRecord, record_decision_line
 from verbenawind.document import Stage
 from verbenawind.ids import digest_hex
 from verbenawind.kernel.ports import Outside
@@ -45,7 +45,7 @@
 
     def test_lines_without_a_request_are_not_recorded(self) -> None:
         """A line without a request ID is passed on unchanged."""
-        assert keep_decisions(None, "info", {"event": "x"}) == {"event": "x"}
+        assert record_decision_line(None, "info", {"event": "x"}) == {"event": "x"}
 
 
 class TestExplain:
