--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -185,7 +185,7 @@
             timings=timings,
             clock=clock,
         )
-        self.beats = HostHeartbeats(
+        self.heartbeats = HostHeartbeats(
             store,
             heartbeat,
             clock=clock,
@@ -193,10 +193,10 @@
             busy=lambda: self.runner.busy,
             view_age_s=self.hosts_feed.age_s,
         )
-        self.hosts_feed.on_response(self.beats.on_feed_response)
-        owner_monitor = OwnerMonitor(self.beats, probe, clock)
+        self.hosts_feed.on_response(self.heartbeats.on_feed_response)
+        owner_monitor = OwnerMonitor(self.heartbeats, probe, clock)
         self.job_takeover = JobTakeover(
-            self.job_registry, job_store, self.runner, self.beats, owner_monitor, clock
+            self.job_registry, job_store, self.runner, self.heartbeats, owner_monitor, clock
         )
         self.sweeper = JobSweeper(
             self.job_registry,
@@ -207,7 +207,7 @@
             clock=clock,
         )
         self.jobs = BatchJobs(
-            job_store, self.job_registry, self.runner, self.beats, store_ms, clock
+            job_store, self.job_registry, self.runner, self.heartbeats, store_ms, clock
         )
         self.lease = RowLease(
             store,
@@ -255,7 +255,7 @@
             ("servers_feed", self.servers_feed.run),
             ("hosts_feed", self.hosts_feed.run),
             ("jobs_feed", self.jobs_feed.run),
-            ("beats", self.beats.run),
+            ("beats", self.heartbeats.run),
             ("runner", self.runner.run),
             ("keeper", self.job_takeover.run),
             ("sweeper", self.sweeper.run),
@@ -272,7 +272,7 @@
         await asyncio.gather(
             self.lease.release(),
             self.runner.hand_over(_HAND_OVER_TIMEOUT_S),
-            self.beats.beat(leaving=True),
+            self.heartbeats.beat(leaving=True),
         )
 
     def kill(self) -> None:
@@ -284,7 +284,7 @@
 
     def peer_addresses(self) -> Sequence[str]:
         """Return the addresses of other hosts, which can relay store calls."""
-        return [heartbeat.address for heartbeat in self.beats.others()]
+        return [heartbeat.address for heartbeat in self.heartbeats.others()]
 
     # Store feeds.
 
@@ -352,7 +352,7 @@
         if row.row_id.key == _LEASE_KEY:
             self.lease.apply_row(row)
         else:
-            self.beats.apply_row(row)
+            self.heartbeats.apply_row(row)
 
     def _apply_job_row(self, row: StoredRow) -> None:
         self.job_registry.apply_row(row)
@@ -367,10 +367,10 @@
     # Callbacks of the components.
 
     def _is_sweeper_of(self, job_id: str) -> bool:
-        return top(job_id, self.beats.claimants([]), 1) == [self._settings.host]
+        return top(job_id, self.heartbeats.claimants([]), 1) == [self._settings.host]
 
     def _lease_rank(self) -> int:
-        ranking = top(_LEASE_KEY, self.beats.claimants([]), _RANKED_HOSTS)
+        ranking = top(_LEASE_KEY, self.heartbeats.claimants([]), _RANKED_HOSTS)
         host = self._settings.host
         return ranking.index(host) if host in ranking else _RANKED_HOSTS
 
--- a/tests/state/test_beats.py
+++ b/tests/state/test_beats.py
@@ -13,10 +13,10 @@
             await fleet.start(hosts=2)
             first, second = fleet.members.values()
             owner = first.node.runner.owner
-            await fleet.until(lambda: second.node.beats.others())
+            await fleet.until(lambda: second.node.heartbeats.others())
             fleet.kill(first.name)
             since_s = fleet.clock.monotonic_s()
-            took_s = await fleet.until(lambda: second.node.beats.is_gone(owner, since_s))
+            took_s = await fleet.until(lambda: second.node.heartbeats.is_gone(owner, since_s))
             assert 1.0 < took_s < 2.5
 
         run_fleet(work)
@@ -32,11 +32,11 @@
             fleet.store.faults.down = True
             for _ in range(60):
                 await fleet.clock.sleep(0.1)
-                assert not second.node.beats.is_gone(owner, since_s)
+                assert not second.node.heartbeats.is_gone(owner, since_s)
             fleet.store.faults.down = False
             for _ in range(10):
                 await fleet.clock.sleep(0.1)
-                assert not second.node.beats.is_gone(owner, since_s)
+                assert not second.node.heartbeats.is_gone(owner, since_s)
 
         run_fleet(work)
 
@@ -49,11 +49,11 @@
             await fleet.start(hosts=2)
             first, second = fleet.members.values()
             owner = first.node.runner.owner
-            await fleet.until(lambda: second.node.beats.others())
+            await fleet.until(lambda: second.node.heartbeats.others())
             fleet.kill(first.name)
             fleet.add_host(first.name)
             took_s = await fleet.until(
-                lambda: second.node.beats.is_gone(owner, fleet.clock.monotonic_s())
+                lambda: second.node.heartbeats.is_gone(owner, fleet.clock.monotonic_s())
             )
             assert took_s < 0.6
 
@@ -65,12 +65,12 @@
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
             first, second = fleet.members.values()
-            await fleet.until(lambda: second.node.beats.others())
+            await fleet.until(lambda: second.node.heartbeats.others())
             newer = f"{first.name}#newer"
             since_s = fleet.clock.monotonic_s()
-            assert not second.node.beats.is_gone(newer, since_s)
+            assert not second.node.heartbeats.is_gone(newer, since_s)
             await fleet.clock.sleep(1.0)
-            assert not second.node.beats.is_gone(newer, since_s)
+            assert not second.node.heartbeats.is_gone(newer, since_s)
 
         run_fleet(work)
 
@@ -81,9 +81,9 @@
             await fleet.start(hosts=2)
             first, second = fleet.members.values()
             owner = first.node.runner.owner
-            await first.node.beats.beat(leaving=True)
+            await first.node.heartbeats.beat(leaving=True)
             took_s = await fleet.until(
-                lambda: second.node.beats.is_gone(owner, fleet.clock.monotonic_s())
+                lambda: second.node.heartbeats.is_gone(owner, fleet.clock.monotonic_s())
             )
             assert took_s < 0.6
 
