--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -143,7 +143,7 @@
         self._stopping = False
         self._log = structlog.get_logger("node")
         self.routes: RouteTable | None = None
-        self.newest: dict[str, int] = {}
+        self.newest_versions: dict[str, int] = {}
 
         self.operator_feed = self._create_follower(
             registry.operator_table, self._apply_operator_row
@@ -174,7 +174,7 @@
             directory=self.directory,
             port=backends,
             routes=lambda: self.routes,
-            newest_version=lambda model: self.newest.get(model, 1),
+            newest_version=lambda model: self.newest_versions.get(model, 1),
             current_engines=lambda model, service: self.load_scheduler.assigned_engines(
                 model, service
             ),
@@ -226,7 +226,7 @@
             orders,
             self.lease,
             configuration=lambda: self.routes.configuration if self.routes else None,
-            newest=self.newest,
+            newest=self.newest_versions,
             needed=self._required_version,
             timings=timings,
             clock=clock,
@@ -318,8 +318,8 @@
             return
         if isinstance(decoded, GatewayConfiguration):
             self._apply_configuration(decoded)
-        elif decoded is not None and decoded.version > self.newest.get(decoded.model, 1):
-            self.newest[decoded.model] = decoded.version
+        elif decoded is not None and decoded.version > self.newest_versions.get(decoded.model, 1):
+            self.newest_versions[decoded.model] = decoded.version
             self._log.info("version_named", model=decoded.model, version=decoded.version)
             self.load_scheduler.wake()
 
--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -277,7 +277,7 @@
                 max(s.last_contact_age_s for s in servers if s.instance.service == service),
                 service=service,
             )
-        for model, newest in self.node.newest.items():
+        for model, newest in self.node.newest_versions.items():
             loaded = [server.versions[model] for server in servers if model in server.versions]
             set_gauge("version_named", "Newest published weight version.", newest, model=model)
             set_gauge(
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -427,7 +427,7 @@
             fleet.store.forget_history()
             submission = job()
             await fleet.submit(first, submission)
-            await fleet.until(lambda: second.node.newest.get(MODEL) == 2)
+            await fleet.until(lambda: second.node.newest_versions.get(MODEL) == 2)
             check_complete(submission, await fleet.collect(second, submission))
             assert second.node.routes is not None and second.node.routes.knows_host(HOST)
 
--- a/tests/node/test_orders.py
+++ b/tests/node/test_orders.py
@@ -48,7 +48,11 @@
             first, _ = fleet.members.values()
             for version in range(2, 5):
                 fleet.name_version(version)
-                await fleet.until(lambda version=version: first.node.newest.get(MODEL) == version)  # type: ignore[misc]
+                await fleet.until(
+                    lambda version=version: (  # type: ignore[misc]
+                        first.node.newest_versions.get(MODEL) == version
+                    )
+                )
                 submission = job(f"job-{version}", min_version=version, groups=6)
                 await fleet.submit(first, submission)
                 results = await fleet.collect(first, submission)
