--- a/src/verbenawind/traces/__init__.py
+++ b/src/verbenawind/traces/__init__.py
@@ -1,4 +1,4 @@
-"""Traces of live work: their format, a recorder, and files."""
+"""Traces of production traffic: event format, recorder and file access."""
 
 from verbenawind.traces.files import Trace, encode_event, read_trace, write_trace
 from verbenawind.traces.live import LiveRecording
--- a/src/verbenawind/traces/__main__.py
+++ b/src/verbenawind/traces/__main__.py
@@ -1,4 +1,4 @@
-"""Replays trace files and prints, for each, what held, and idle time and staleness."""
+"""Replays trace files and prints each one's guarantees kept, trainer idle time and staleness."""
 
 import statistics
 import sys
@@ -13,21 +13,24 @@
 _ERROR_LEVEL = 40
 
 
-def summary(shown: Replay) -> list[str]:
-    """Return the readable lines about one replay."""
-    held = [promise for promise, kept in shown.held.items() if kept]
-    waited_s = shown.waited_s or (0.0,)
-    staleness = shown.staleness_versions or (0,)
+def summary_lines(result: Replay) -> list[str]:
+    """Return the lines of a human-readable summary of one replay."""
+    kept = [promise for promise, holds in result.held.items() if holds]
+    waited_s = result.waited_s or (0.0,)
+    staleness = result.staleness_versions or (0,)
     lines = [
-        f"{shown.name} ({shown.duration_s:.0f} s of virtual time)",
-        f"  held: {', '.join(held)}",
-        f"  whole steps: {shown.whole_steps}; answered {shown.answered} of {shown.asked}",
-        f"  step wait: mean {statistics.fmean(waited_s):.1f} s, longest {max(waited_s):.1f} s; "
-        f"trainers idle {shown.idle_s:.1f} s beside {shown.trained_s:.1f} s of training",
-        f"  staleness: mean {statistics.fmean(staleness):.2f} versions, most {max(staleness)}",
+        f"{result.name} ({result.duration_s:.0f} s of virtual time)",
+        f"  guarantees kept: {', '.join(kept)}",
+        f"  complete steps: {result.whole_steps}; "
+        f"answered calls: {result.answered} of {result.asked}",
+        f"  step wait: mean {statistics.fmean(waited_s):.1f} s, maximum {max(waited_s):.1f} s; "
+        f"trainer idle time {result.idle_s:.1f} s, training time {result.trained_s:.1f} s",
+        f"  staleness: mean {statistics.fmean(staleness):.2f} versions, maximum {max(staleness)}",
     ]
-    lines += [f"  BROKEN {violation.promise}: {violation.what}" for violation in shown.violations]
-    lines += [f"  NOT AS STATED {difference}" for difference in shown.differences]
+    lines += [
+        f"  VIOLATED {violation.promise}: {violation.what}" for violation in result.violations
+    ]
+    lines += [f"  UNEXPECTED OUTCOME {difference}" for difference in result.differences]
     return lines
 
 
@@ -35,9 +38,9 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(_ERROR_LEVEL))
     failed = False
     for name in arguments[1:]:
-        shown = replay(read_trace(Path(name)))
-        print("\n".join(summary(shown)))
-        failed = failed or bool(shown.violations or shown.differences)
+        result = replay(read_trace(Path(name)))
+        print("\n".join(summary_lines(result)))
+        failed = failed or bool(result.violations or result.differences)
     sys.exit(1 if failed else 0)
 
 
--- a/src/verbenawind/traces/faults.py
+++ b/src/verbenawind/traces/faults.py
@@ -1,4 +1,4 @@
-"""Applies a trace's faults to a scene; each kind registers how."""
+"""Injects a trace's faults into a scene, with one registered handler per fault kind."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 __all__ = ["apply_fault"]
 
 _SLOWDOWN = 10
-_APPLY: dict[FaultKind, Callable[[Scene, Fault], None]] = {}
+_HANDLERS: dict[FaultKind, Callable[[Scene, Fault], None]] = {}
 
-Apply = Callable[[Scene, Fault], None]
+FaultHandler = Callable[[Scene, Fault], None]
 
 
 def apply_fault(scene: Scene, fault: Fault) -> None:
-    """Let the fault happen, and end by itself where it lasts."""
-    _APPLY[fault.kind](scene, fault)
+    """Inject a fault and, for kinds with a duration, schedule its removal."""
+    _HANDLERS[fault.kind](scene, fault)
 
 
-def _register(kind: FaultKind) -> Callable[[Apply], Apply]:
-    def register(apply: Apply) -> Apply:
-        _APPLY[kind] = apply
+def _register(kind: FaultKind) -> Callable[[FaultHandler], FaultHandler]:
+    def register(apply: FaultHandler) -> FaultHandler:
+        _HANDLERS[kind] = apply
         return apply
 
     return register
@@ -31,7 +31,7 @@
     return sorted(scene.world.engines)[index % len(scene.world.engines)]
 
 
-def _later(scene: Scene, fault: Fault, undo: Callable[[], object]) -> None:
+def _schedule_undo(scene: Scene, fault: Fault, undo: Callable[[], object]) -> None:
     async def wait() -> None:
         await scene.clock.sleep(fault.duration_s)
         undone = undo()
@@ -45,7 +45,7 @@
 def _crash_engine(scene: Scene, fault: Fault) -> None:
     engine = scene.world.engines[_engine_id(scene, fault.target)]
     engine.crash()
-    _later(scene, fault, engine.restart)
+    _schedule_undo(scene, fault, engine.restart)
 
 
 @_register(FaultKind.FAIL_SWAPS)
@@ -58,26 +58,26 @@
     profile = scene.world.engines[_engine_id(scene, fault.target)].profile
     usual_s = profile.tick_s
     profile.tick_s = usual_s * _SLOWDOWN
-    _later(scene, fault, lambda: setattr(profile, "tick_s", usual_s))
+    _schedule_undo(scene, fault, lambda: setattr(profile, "tick_s", usual_s))
 
 
 @_register(FaultKind.CUT_ZONE)
 def _cut_zone(scene: Scene, fault: Fault) -> None:
     scene.cut(fault.target, platform=True)
     scene.cut(fault.target, platform=False)
-    _later(scene, fault, scene.world.network.heal)
+    _schedule_undo(scene, fault, scene.world.network.heal)
 
 
 @_register(FaultKind.KILL_DAEMON)
 def _kill_daemon(scene: Scene, fault: Fault) -> None:
     scene.spawn(scene.kill_daemon(fault.target))
-    _later(scene, fault, lambda: scene.start_daemon(fault.target))
+    _schedule_undo(scene, fault, lambda: scene.start_daemon(fault.target))
 
 
 @_register(FaultKind.PAUSE_DAEMON)
 def _pause_daemon(scene: Scene, fault: Fault) -> None:
     scene.pause(fault.target)
-    _later(scene, fault, lambda: scene.resume(fault.target))
+    _schedule_undo(scene, fault, lambda: scene.resume(fault.target))
 
 
 @_register(FaultKind.STORE_DOWN)
@@ -90,7 +90,7 @@
             store.faults.down = down
 
     set_down(True)
-    _later(scene, fault, lambda: set_down(False))
+    _schedule_undo(scene, fault, lambda: set_down(False))
 
 
 @_register(FaultKind.LOSE_SERVICE_ANSWER)
--- a/src/verbenawind/traces/live.py
+++ b/src/verbenawind/traces/live.py
@@ -1,4 +1,4 @@
-"""Records one daemon's live work into a file."""
+"""Records the requests that a running daemon serves to a trace file."""
 
 from collections import Counter
 
@@ -19,17 +19,17 @@
 
 
 class LiveRecording:
-    """A recorder together with its file.
+    """A trace recorder and the file that it appends to.
 
     Args:
-        path: The file that lines are appended to.
+        path: File to which lines are appended.
         clock: Time source.
-        fleet: The backend servers that the header counts.
-        peers: The daemons that the header counts.
-        configuration: The revisions in force.
-        generator: The generator that is recorded.
-        services: The caller of plain services that is recorded.
-        rollouts: The rollout service that is recorded.
+        fleet: Backend servers, counted in the header.
+        peers: Other daemons, counted in the header.
+        configuration: Source of the active revisions.
+        generator: Generator whose calls are recorded.
+        services: Plain-service caller whose calls are recorded.
+        rollouts: Rollout service whose calls are recorded.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         self._fleet = fleet
         self._peers = peers
         self._configuration = configuration
-        self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - closed by close().
+        self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - closed in close().
         self.recorder = TraceRecorder(
             self._file.write, clock, generator=generator, services=services, rollouts=rollouts
         )
 
     def begin(self) -> None:
-        """Describe the fleet and what is in force, and record from now on."""
+        """Write the header and the active revisions, then record every call."""
         views = self._fleet.all()
         regions = {view.server.location.region for view in views} | {self._fleet.location.region}
         groups = Counter((view.server.kind, view.server.group) for view in views)
@@ -70,5 +70,5 @@
         self._configuration.subscribe(self.recorder.revision_in_force)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the trace file."""
         self._file.close()
--- a/src/verbenawind/traces/recorder.py
+++ b/src/verbenawind/traces/recorder.py
@@ -1,4 +1,4 @@
-"""Records a daemon's live work as a trace, payloads by digest."""
+"""Records the calls to a daemon as trace events, with digests in place of payloads."""
 
 from collections.abc import AsyncGenerator, Callable, Sequence
 
@@ -26,7 +26,15 @@
     VersionAccepted,
 )
 from verbenawind.traces.files import encode_event
-from verbenawind.traces.types import Ask, Call, DocumentChange, Event, Header, Publish, Step
+from verbenawind.traces.types import (
+    DocumentChange,
+    Event,
+    GenerationRequested,
+    Header,
+    ServiceCalled,
+    StepSubmitted,
+    VersionPublished,
+)
 
 __all__ = ["TraceRecorder"]
 
@@ -34,18 +42,18 @@
 
 
 class TraceRecorder:
-    """Stands before a daemon's services and notes what outside parties ask of them.
+    """Wraps a daemon's services and records the calls of external clients.
 
-    It implements the Generator, ServiceCaller and RolloutService ports. Prompts, bodies and
-    grades are not kept: a prompt is known by its digest and length, a booking by the digest of
-    its key.
+    Implements the Generator, ServiceCaller and RolloutService ports. Prompts, bodies and grades
+    are not recorded: a prompt is represented by its digest and length, a non-idempotent service
+    call by the digest of its idempotency key.
 
     Args:
-        write: Takes each line.
+        write: Called with each encoded line.
         clock: Time source.
-        generator: The generator behind it.
-        services: The caller of plain services behind it.
-        rollouts: The rollout service behind it.
+        generator: Wrapped generator.
+        services: Wrapped plain-service caller.
+        rollouts: Wrapped rollout service.
     """
 
     __slots__ = ("_clock", "_generator", "_rollouts", "_services", "_started_s", "_write")
@@ -67,23 +75,23 @@
         self._started_s: float | None = None
 
     def begin(self, header: Header, revisions: Sequence[EnvironmentRevision]) -> None:
-        """Write the header and what is in force; nothing is noted before."""
+        """Write the header and the active revisions; calls before this are not recorded."""
         self._started_s = self._clock.monotonic_s()
-        self._note(header)
+        self._record(header)
         for revision in revisions:
             self.revision_in_force(revision)
 
     def revision_in_force(self, revision: EnvironmentRevision) -> None:
-        """Note a document; subscribe it to the configuration."""
-        self._note(DocumentChange(at_s=self._now_s(), document=revision.document))
+        """Record the document of a revision; to be subscribed to the configuration."""
+        self._record(DocumentChange(at_s=self._now_s(), document=revision.document))
 
     def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Note an application caller's request and stream its answer."""
+        """Record an application caller's request and stream its response."""
         if request.kind is WorkKind.APPLICATION:
-            self._note(
-                Ask(
+            self._record(
+                GenerationRequested(
                     at_s=self._now_s(),
-                    digest=_digest(request.prompt.encode()),
+                    digest=_short_digest(request.prompt.encode()),
                     max_tokens=request.max_tokens,
                     model=request.model,
                     prompt_characters=len(request.prompt),
@@ -92,29 +100,34 @@
         return self._generator.generate(request)
 
     def free_slots(self, pool: str) -> int:
-        """Return how many more rollout generations the pool would start at once."""
+        """Return how many more rollout generations the pool could start immediately."""
         return self._generator.free_slots(pool)
 
     async def call_service(self, request: ServiceRequest, spec: ServiceSpec) -> ServiceResponse:
-        """Note a call to a plain service and make it."""
-        key = "" if request.idempotent else _digest((request.idempotency_key or "").encode())
-        self._note(
-            Call(at_s=self._now_s(), service=request.service, digest=_digest(request.body), key=key)
+        """Record a call to a plain service and forward it."""
+        key = "" if request.idempotent else _short_digest((request.idempotency_key or "").encode())
+        self._record(
+            ServiceCalled(
+                at_s=self._now_s(),
+                service=request.service,
+                digest=_short_digest(request.body),
+                key=key,
+            )
         )
         return await self._services.call_service(request, spec)
 
     async def submit_step(
         self, revision: EnvironmentRevision, trainer: TrainerSpec, submission: StepSubmission
     ) -> StepAccepted:
-        """Note a step and submit it."""
-        self._note(
-            Step(
+        """Record a step submission and forward it."""
+        self._record(
+            StepSubmitted(
                 at_s=self._now_s(),
                 trainer=trainer.name,
                 step=submission.step,
                 groups=tuple(group.size for group in submission.groups),
                 max_tokens=submission.sampling.max_tokens,
-                digest=_digest(msgspec.json.encode(submission.groups)),
+                digest=_short_digest(msgspec.json.encode(submission.groups)),
                 seed=submission.sampling.seed,
             )
         )
@@ -123,26 +136,26 @@
     async def poll(
         self, revision: EnvironmentRevision, trainer: TrainerSpec, request: PollRequest
     ) -> PollResponse:
-        """Poll; a replayed trainer polls by itself."""
+        """Forward a poll; not recorded, because the replay polls on its own schedule."""
         return await self._rollouts.poll(revision, trainer, request)
 
     async def publish_version(
         self, revision: EnvironmentRevision, model: ModelSpec, version: PublishedVersion
     ) -> VersionAccepted:
-        """Note a publication and make it."""
+        """Record a version publication and forward it."""
         for trainer in revision.document.trainers:
             if trainer.model == model.name:
-                self._note(Publish(at_s=self._now_s(), trainer=trainer.name))
+                self._record(VersionPublished(at_s=self._now_s(), trainer=trainer.name))
                 break
         return await self._rollouts.publish_version(revision, model, version)
 
     async def submit_grades(
         self, revision: EnvironmentRevision, trainer: TrainerSpec, grades: GradeSubmission
     ) -> GradesAccepted:
-        """Submit grades; a replayed trainer grades by itself."""
+        """Forward grades; not recorded, because the replay computes its own grades."""
         return await self._rollouts.submit_grades(revision, trainer, grades)
 
-    def _note(self, event: Event) -> None:
+    def _record(self, event: Event) -> None:
         if self._started_s is not None:
             self._write(encode_event(event))
 
@@ -150,5 +163,5 @@
         return round(self._clock.monotonic_s() - (self._started_s or 0.0), 4)
 
 
-def _digest(data: bytes) -> str:
+def _short_digest(data: bytes) -> str:
     return digest_hex(data)[:_DIGEST_CHARACTERS]
--- a/src/verbenawind/traces/replay.py
+++ b/src/verbenawind/traces/replay.py
@@ -1,4 +1,4 @@
-"""Replays a trace on virtual time over stand-ins and states what held."""
+"""Replays a trace in virtual time against stand-ins and reports which guarantees held."""
 
 import asyncio
 from collections import Counter
@@ -14,20 +14,20 @@
 from verbenawind.traces.faults import apply_fault
 from verbenawind.traces.files import Trace
 from verbenawind.traces.types import (
-    Ask,
-    Call,
     DocumentChange,
     Event,
     Fault,
-    Publish,
-    Step,
-    Train,
+    GenerationRequested,
+    ServiceCalled,
+    StepSubmitted,
+    TrainingLoop,
+    VersionPublished,
 )
 
 __all__ = ["Replay", "replay"]
 
-_POLL_PAUSE_S = 0.2
-_RESTART_S = 8.0
+_POLL_PERIOD_S = 0.2
+_RESTART_PERIOD_S = 8.0
 _SETTLE_S = 20.0
 _MAX_TRAINING_S = 4 * 3600.0
 _TICK_S = 0.05
@@ -35,10 +35,11 @@
 
 
 class Replay(msgspec.Struct, frozen=True, kw_only=True):
-    """What a replay showed.
+    """The result of a replay.
 
-    ``waited_s`` holds, for each whole step, the time from its submission until the trainer had
-    all of it; ``idle_s`` the time that closed-loop trainers waited for samples.
+    ``waited_s`` holds, for each complete step, the time from its submission until the trainer had
+    received all its samples; ``idle_s`` is the total time that closed-loop trainers waited for
+    samples. ``differences`` lists deviations from the trace's expected outcome.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 
 def replay(trace: Trace) -> Replay:
-    """Replay a trace in a loop of its own."""
+    """Replay a trace in its own event loop."""
     return run_virtual(_Replayer(trace).run())
 
 
@@ -69,13 +70,13 @@
     def __init__(self, trace: Trace) -> None:
         self._trace = trace
         self._events = list(trace.events)
-        self._waiting: dict[tuple[str, int], tuple[float, int]] = {}
-        self._whole: Counter[str] = Counter()
+        self._pending_steps: dict[tuple[str, int], tuple[float, int]] = {}
+        self._complete_steps: Counter[str] = Counter()
         self._waited_s: list[float] = []
         self._idle_s = 0.0
         self._trained_s = 0.0
-        self._answers: list[asyncio.Task[bool]] = []
-        self._training: list[asyncio.Task[None]] = []
+        self._call_tasks: list[asyncio.Task[bool]] = []
+        self._training_tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> Replay:
         self._scene = scene = self._build()
@@ -88,8 +89,8 @@
             await self._apply(event)
         ends_at_s = started_s + max((_end_s(event) for event in self._events), default=0.0)
         await scene.clock.sleep(max(0.0, ends_at_s - scene.clock.monotonic_s()))
-        if self._training:
-            await asyncio.wait(self._training, timeout=_MAX_TRAINING_S)
+        if self._training_tasks:
+            await asyncio.wait(self._training_tasks, timeout=_MAX_TRAINING_S)
         await scene.heal()
         await scene.clock.sleep(_SETTLE_S)
         scene.calm()
@@ -97,13 +98,13 @@
             poll.cancel()
         await asyncio.gather(*polls, return_exceptions=True)
         await scene.quiet()
-        self._note_whole()
+        self._record_complete_steps()
         return await self._finish(started_s)
 
     def _build(self) -> Scene:
         header = self._trace.header
         if not self._events or not isinstance(self._events[0], DocumentChange):
-            raise InvalidRequest(f"trace {header.name!r} has no document at its start")
+            raise InvalidRequest(f"trace {header.name!r} does not start with a document event")
         document = self._events[0].document
         del self._events[0]
         scene = Scene(header.seed, document, daemons=header.daemons, regions=header.regions)
@@ -129,14 +130,14 @@
         scene = self._scene
         if isinstance(event, Fault):
             apply_fault(scene, event)
-        elif isinstance(event, Ask):
+        elif isinstance(event, GenerationRequested):
             mark = CRASH_MARK if event.crashes else ""
             prompt = f"{event.digest}{mark}".ljust(event.prompt_characters, ".")
             asked = scene.ask(
                 event.daemon, prompt, max_tokens=event.max_tokens, model_name=event.model
             )
-            self._answers.append(asked)
-        elif isinstance(event, Call):
+            self._call_tasks.append(asked)
+        elif isinstance(event, ServiceCalled):
             booking = scene.book(
                 event.daemon,
                 event.key,
@@ -144,34 +145,34 @@
                 idempotent=not event.key,
                 service=event.service,
             )
-            self._answers.append(booking)
+            self._call_tasks.append(booking)
         elif isinstance(event, DocumentChange):
             scene.spawn(scene.accept(event.daemon, event.document))
-        elif isinstance(event, Publish):
+        elif isinstance(event, VersionPublished):
             scene.spawn(scene.publish(event.daemon, event.trainer))
-        elif isinstance(event, Step):
-            scene.spawn(self._submit(event.daemon, event.trainer, _submission_of(event)))
-        elif isinstance(event, Train):
-            self._training.append(asyncio.ensure_future(self._train(event)))
+        elif isinstance(event, StepSubmitted):
+            scene.spawn(self._submit(event.daemon, event.trainer, _recorded_submission(event)))
+        elif isinstance(event, TrainingLoop):
+            self._training_tasks.append(asyncio.ensure_future(self._train(event)))
 
     async def _submit(self, daemon: int, trainer: str, submission: StepSubmission) -> None:
         samples = sum(group.size for group in submission.groups)
-        self._waiting[(trainer, submission.step)] = (self._scene.clock.monotonic_s(), samples)
+        self._pending_steps[(trainer, submission.step)] = (self._scene.clock.monotonic_s(), samples)
         turn = daemon
         while not await self._scene.submit(turn % self._daemons, trainer, submission):
             turn += 1
-            await self._scene.clock.sleep(_POLL_PAUSE_S)
+            await self._scene.clock.sleep(_POLL_PERIOD_S)
 
-    async def _train(self, event: Train) -> None:
-        """Take steps in a closed loop, one step submitted ahead."""
+    async def _train(self, event: TrainingLoop) -> None:
+        """Run training steps in a closed loop, with the next step always submitted in advance."""
         clock = self._scene.clock
-        await self._submit(0, event.trainer, _closed_step(event, 1))
+        await self._submit(0, event.trainer, _training_submission(event, 1))
         for step in range(1, event.steps + 1):
             if step < event.steps:
-                await self._submit(step, event.trainer, _closed_step(event, step + 1))
+                await self._submit(step, event.trainer, _training_submission(event, step + 1))
             began_s = clock.monotonic_s()
-            while (event.trainer, step) in self._waiting:
-                await clock.sleep(_POLL_PAUSE_S)
+            while (event.trainer, step) in self._pending_steps:
+                await clock.sleep(_POLL_PERIOD_S)
             self._idle_s += clock.monotonic_s() - began_s
             await clock.sleep(event.train_s)
             self._trained_s += event.train_s
@@ -185,33 +186,33 @@
         while True:
             turn += 1
             await self._scene.poll(turn % self._daemons, trainer)
-            self._note_whole()
+            self._record_complete_steps()
             await self._scene.grade(turn % self._daemons, trainer, limit=64)
-            await self._scene.clock.sleep(_POLL_PAUSE_S)
+            await self._scene.clock.sleep(_POLL_PERIOD_S)
 
     async def _restart_crashed(self) -> None:
-        """Bring crashed engines back after a while, as the platform does."""
+        """Restart crashed engines periodically, as the platform does."""
         while True:
-            await self._scene.clock.sleep(_RESTART_S)
+            await self._scene.clock.sleep(_RESTART_PERIOD_S)
             for engine in self._scene.world.engines.values():
                 if engine.down:
                     engine.restart()
 
-    def _note_whole(self) -> None:
+    def _record_complete_steps(self) -> None:
         now_s = self._scene.clock.monotonic_s()
         for trainer in self._scene.trainers:
             held = Counter(sample.step for sample in self._scene.oracle.kept_samples(trainer))
-            for (name, step), (since_s, samples) in list(self._waiting.items()):
+            for (name, step), (since_s, samples) in list(self._pending_steps.items()):
                 if name == trainer and held[step] >= samples:
-                    del self._waiting[(name, step)]
-                    self._whole[trainer] += 1
+                    del self._pending_steps[(name, step)]
+                    self._complete_steps[trainer] += 1
                     self._waited_s.append(now_s - since_s)
 
     async def _finish(self, started_s: float) -> Replay:
         scene, stated = self._scene, self._trace.stated
-        if self._answers:
-            await asyncio.wait(self._answers)
-        answered = sum(task.result() for task in self._answers)
+        if self._call_tasks:
+            await asyncio.wait(self._call_tasks)
+        answered = sum(task.result() for task in self._call_tasks)
         scene.collect()
         scene.look()
         violations = tuple(scene.oracle.judge())
@@ -219,17 +220,17 @@
         for service in scene.world.services.values():
             runs.update(service.runs)
         differences = [
-            f"trainer {trainer}: {self._whole[trainer]} whole steps, stated {steps}"
+            f"trainer {trainer}: {self._complete_steps[trainer]} complete steps, expected {steps}"
             for trainer, steps in stated.whole_steps.items()
-            if self._whole[trainer] != steps
+            if self._complete_steps[trainer] != steps
         ]
         differences += [
-            f"booking {key}: ran {runs[key]} times, stated at most {most}"
+            f"booking {key}: ran {runs[key]} times, expected at most {most}"
             for key, most in stated.most_runs.items()
             if runs[key] > most
         ]
         if answered < stated.answered:
-            differences.append(f"{answered} answers, stated at least {stated.answered}")
+            differences.append(f"{answered} answered calls, expected at least {stated.answered}")
         duration_s = scene.clock.monotonic_s() - started_s
         staleness = tuple(scene.oracle.staleness_versions())
         await scene.stop()
@@ -237,9 +238,9 @@
             name=self._trace.header.name,
             violations=violations,
             differences=tuple(differences),
-            whole_steps=dict(self._whole),
+            whole_steps=dict(self._complete_steps),
             answered=answered,
-            asked=len(self._answers),
+            asked=len(self._call_tasks),
             waited_s=tuple(self._waited_s),
             idle_s=self._idle_s,
             trained_s=self._trained_s,
@@ -256,7 +257,7 @@
     return event.at_s + (event.duration_s if isinstance(event, Fault) else 0.0)
 
 
-def _submission_of(event: Step) -> StepSubmission:
+def _recorded_submission(event: StepSubmitted) -> StepSubmission:
     return StepSubmission(
         step=event.step,
         groups=tuple(
@@ -267,7 +268,7 @@
     )
 
 
-def _closed_step(event: Train, step: int) -> StepSubmission:
+def _training_submission(event: TrainingLoop, step: int) -> StepSubmission:
     return StepSubmission(
         step=step,
         groups=tuple(
--- a/src/verbenawind/traces/types.py
+++ b/src/verbenawind/traces/types.py
@@ -1,4 +1,4 @@
-"""The events of a trace; docs/TRACES.md describes the format."""
+"""Trace events. The file format is documented in docs/TRACES.md."""
 
 from enum import StrEnum
 
@@ -7,24 +7,24 @@
 from verbenawind.document import EnvironmentDocument
 
 __all__ = [
-    "Ask",
-    "Call",
     "DocumentChange",
     "Event",
+    "ExpectedOutcome",
     "Fault",
     "FaultKind",
+    "GenerationRequested",
     "Header",
-    "Publish",
-    "Stated",
-    "Step",
-    "Train",
+    "ServiceCalled",
+    "StepSubmitted",
+    "TrainingLoop",
+    "VersionPublished",
 ]
 
 FORMAT = 1
 
 
 class FaultKind(StrEnum):
-    """What a fault does to its target."""
+    """The kinds of faults that a trace can inject."""
 
     CRASH_ENGINE = "crash_engine"
     FAIL_SWAPS = "fail_swaps"
@@ -37,16 +37,17 @@
 
 
 class _Event(msgspec.Struct, frozen=True, kw_only=True, tag_field="event", omit_defaults=True):
-    """The base of the events; ``at_s`` counts from the trace's start, in seconds."""
+    """Base class of events; ``at_s`` is the time since the start of the trace, in seconds."""
 
     at_s: float = 0.0
 
 
 class Header(_Event, frozen=True, kw_only=True, tag="header"):
-    """The first line: who ran what where.
+    """The first line: the user and the deployment on which the trace runs.
 
-    ``engines`` counts engines by pool and ``services`` hosts by plain service; they are spread
-    over one availability zone in each of ``regions``, as are the daemons.
+    ``engines`` is the number of engines by pool and ``services`` the number of hosts by plain
+    service. Engines, hosts and daemons are distributed round-robin over ``regions``, each of which
+    has one availability zone.
     """
 
     name: str
@@ -60,14 +61,14 @@
 
 
 class DocumentChange(_Event, frozen=True, kw_only=True, tag="document"):
-    """A document came into force; the first one is in force from the start."""
+    """A document became active; the first one is active from the start."""
 
     document: EnvironmentDocument
     daemon: int = 0
 
 
-class Train(_Event, frozen=True, kw_only=True, tag="train"):
-    """A trainer takes steps in a closed loop: wait for a step, train, publish a version."""
+class TrainingLoop(_Event, frozen=True, kw_only=True, tag="train"):
+    """A closed-loop trainer: for each step it waits for samples, trains and publishes a version."""
 
     trainer: str
     steps: int
@@ -77,8 +78,8 @@
     train_s: float
 
 
-class Step(_Event, frozen=True, kw_only=True, tag="step"):
-    """A trainer submitted a step; prompts are known by the digest of the whole step."""
+class StepSubmitted(_Event, frozen=True, kw_only=True, tag="step"):
+    """A trainer submitted a step; ``digest`` covers all prompt groups and replaces the prompts."""
 
     trainer: str
     step: int
@@ -89,17 +90,18 @@
     daemon: int = 0
 
 
-class Publish(_Event, frozen=True, kw_only=True, tag="version"):
+class VersionPublished(_Event, frozen=True, kw_only=True, tag="version"):
     """A trainer published its next version."""
 
     trainer: str
     daemon: int = 0
 
 
-class Ask(_Event, frozen=True, kw_only=True, tag="ask"):
-    """An application caller asked for a generation; ``crashes`` marks one that kills engines.
+class GenerationRequested(_Event, frozen=True, kw_only=True, tag="ask"):
+    """An application caller requested a generation.
 
-    Without ``model`` it is the document's first one.
+    ``crashes`` marks a request that crashes the engine that runs it. An empty ``model`` selects
+    the first model of the document.
     """
 
     digest: str
@@ -110,8 +112,11 @@
     crashes: bool = False
 
 
-class Call(_Event, frozen=True, kw_only=True, tag="call"):
-    """An application caller called a plain service; ``key`` is set on bookings."""
+class ServiceCalled(_Event, frozen=True, kw_only=True, tag="call"):
+    """An application caller called a plain service.
+
+    ``key`` identifies a non-idempotent call and is empty for idempotent ones.
+    """
 
     service: str
     digest: str
@@ -120,9 +125,9 @@
 
 
 class Fault(_Event, frozen=True, kw_only=True, tag="fault"):
-    """Something failed, for ``duration_s`` where the kind ends by itself.
+    """A fault to inject; kinds that last are removed after ``duration_s``.
 
-    ``target`` is the index of an engine, zone or daemon.
+    ``target`` is the index of an engine, zone or daemon, depending on the kind.
     """
 
     kind: FaultKind
@@ -130,11 +135,12 @@
     duration_s: float = 0.0
 
 
-class Stated(_Event, frozen=True, kw_only=True, tag="outcome"):
-    """The last line: the outcome that a replay must show, besides that every promise holds.
+class ExpectedOutcome(_Event, frozen=True, kw_only=True, tag="outcome"):
+    """The last line: the outcome that a replay must produce, in addition to every guarantee.
 
-    ``whole_steps`` counts steps by trainer, ``answered`` the asks and calls with an answer,
-    and ``most_runs`` bounds how often a booking ran, by key.
+    ``whole_steps`` is the number of complete steps by trainer, ``answered`` the minimum number of
+    successful generation and service calls, and ``most_runs`` the maximum number of times that
+    a non-idempotent call may run, by key.
     """
 
     whole_steps: dict[str, int] = {}
@@ -142,4 +148,14 @@
     most_runs: dict[str, int] = {}
 
 
-Event = Header | DocumentChange | Train | Step | Publish | Ask | Call | Fault | Stated
+Event = (
+    Header
+    | DocumentChange
+    | TrainingLoop
+    | StepSubmitted
+    | VersionPublished
+    | GenerationRequested
+    | ServiceCalled
+    | Fault
+    | ExpectedOutcome
+)
--- a/tests/traces/test_recorder.py
+++ b/tests/traces/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of recording live work and reading it back."""
+"""Tests of recording a daemon's calls and reading the trace back."""
 
 from pathlib import Path
 
@@ -10,12 +10,12 @@
 from verbenawind.standins.world import run_virtual
 from verbenawind.traces import LiveRecording, read_trace
 from verbenawind.traces.replay import replay
-from verbenawind.traces.types import Ask, Step
+from verbenawind.traces.types import GenerationRequested, StepSubmitted
 
 
 class TestRecorder:
     def test_recorded_work_replays(self, tmp_path: Path) -> None:
-        """A step and a request that a daemon served are recorded without text and replay whole."""
+        """A recorded step and generation contain no prompt text and replay completely."""
         path = tmp_path / "live.jsonl"
 
         async def serve() -> None:
@@ -53,13 +53,13 @@
 
         run_virtual(serve())
         trace = read_trace(path)
-        assert [type(event) for event in trace.events[-2:]] == [Step, Ask]
+        assert [type(event) for event in trace.events[-2:]] == [StepSubmitted, GenerationRequested]
         assert b"secret" not in path.read_bytes()
-        shown = replay(trace)
-        assert (shown.whole_steps, shown.answered, shown.violations) == ({"folders": 1}, 1, ())
+        result = replay(trace)
+        assert (result.whole_steps, result.answered, result.violations) == ({"folders": 1}, 1, ())
 
     def test_malformed_line_is_named(self, tmp_path: Path) -> None:
-        """A line that is no event is refused with its number."""
+        """A line that is not a known event is rejected with its line number."""
         path = tmp_path / "bad.jsonl"
         path.write_text('{"event": "nothing"}\n')
         with pytest.raises(InvalidRequest, match=r"bad\.jsonl, line 1"):
--- a/tests/traces/test_replay.py
+++ b/tests/traces/test_replay.py
@@ -1,4 +1,4 @@
-"""Replays every committed trace against its stated outcome."""
+"""Replays every committed trace and compares the outcome with the expected one."""
 
 from pathlib import Path
 
@@ -13,6 +13,6 @@
 class TestReplay:
     @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
     def test_stated_outcome_holds(self, path: Path) -> None:
-        """Every promise holds in the replay, and its outcome is as stated."""
-        shown = replay(read_trace(path))
-        assert (shown.violations, shown.differences) == ((), ())
+        """The replay violates no guarantee and produces the expected outcome."""
+        result = replay(read_trace(path))
+        assert (result.violations, result.differences) == ((), ())
