--- a/src/verbenawind/standins/__init__.py
+++ b/src/verbenawind/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what the platform gives, with fault knobs; not part of the service."""
+"""Test doubles of the platform and the backend servers, with fault injection; not in production."""
--- a/src/verbenawind/standins/engine_profile.py
+++ b/src/verbenawind/standins/engine_profile.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine behaves: its tokens, lengths, speed, limits and fault knobs."""
+"""The behaviour of a stand-in engine: token function, output lengths, speed, limits and faults."""
 
 import math
 import zlib
@@ -7,22 +7,22 @@
 __all__ = ["LONG_MARK", "EngineFaults", "EngineProfile", "expected_token", "natural_length"]
 
 LONG_MARK = "[long]"
-_LONG_FACTOR = 4
-_VOCABULARY = 50_000
+_LONG_OUTPUT_FACTOR = 4
+_VOCABULARY_SIZE = 50_000
 
 
 def expected_token(model: str, version: int, prompt: str, seed: int, index: int) -> int:
-    """Return the token that *version* produces at *index*; outsiders check labels with it."""
-    return zlib.crc32(f"{model}|{version}|{prompt}|{seed}|{index}".encode()) % _VOCABULARY
+    """Return the token that *version* generates at *index*; tests verify version labels with it."""
+    return zlib.crc32(f"{model}|{version}|{prompt}|{seed}|{index}".encode()) % _VOCABULARY_SIZE
 
 
 def natural_length(prompt: str, seed: int, median_tokens: int = 48, sigma: float = 0.8) -> int:
-    """Return the heavy-tailed length at which a generation ends by itself, in tokens.
+    """Return the log-normal length at which a generation stops by itself, in tokens.
 
-    Prompts with LONG_MARK have longer answers.
+    Prompts that contain LONG_MARK have longer outputs.
     """
     if LONG_MARK in prompt:
-        median_tokens *= _LONG_FACTOR
+        median_tokens *= _LONG_OUTPUT_FACTOR
     normal = Random(f"{prompt}|{seed}").gauss(0.0, sigma)
     return max(1, round(median_tokens * math.exp(normal)))
 
@@ -31,13 +31,13 @@
     """The speed and limits of a stand-in engine.
 
     Args:
-        max_running: Size of the continuous batch.
-        tick_s: Time of one batch step, in seconds.
-        tokens_per_tick: Tokens that each running request gets in one step.
-        prefill_tokens_per_s: Prompt characters read per second when no prefix is cached.
-        prefix_blocks: How many prefix blocks the cache holds.
-        load_lag_s: How late the reported load is, in seconds.
-        event_lag_s: How late cache events appear, in seconds.
+        max_running: Maximum number of requests in the batch.
+        tick_s: Duration of one batch step, in seconds.
+        tokens_per_tick: Tokens generated for each running request in one batch step.
+        prefill_tokens_per_s: Prefill rate; uncached prompt characters count as tokens.
+        prefix_blocks: Capacity of the prefix cache, in blocks.
+        load_lag_s: Delay of the reported load, in seconds.
+        event_lag_s: Delay of cache events, in seconds.
     """
 
     __slots__ = (
@@ -71,12 +71,13 @@
 
 
 class EngineFaults:
-    """Fault knobs of a stand-in engine.
+    """Faults to inject into a stand-in engine.
 
-    ``stalled`` freezes the batch; ``unreachable`` refuses connections; ``drop_end_mark`` ends
-    streams without their mark; ``fail_next_swaps`` makes that many activations stop halfway;
-    ``version_report_lag_s`` makes the status name an old version for a while after a swap;
-    ``event_gap_rate`` is the share of cache events that get lost.
+    ``stalled`` stops the batch from progressing; ``unreachable`` refuses connections;
+    ``drop_end_mark`` ends streams without an end marker; ``fail_next_swaps`` is the number of
+    activations that fail midway; ``version_report_lag_s`` is the time after a swap for which the
+    status still reports the previous version; ``event_gap_rate`` is the fraction of cache events
+    that are lost.
     """
 
     __slots__ = (
--- a/src/verbenawind/standins/http.py
+++ b/src/verbenawind/standins/http.py
@@ -1,4 +1,4 @@
-"""Puts the stand-ins behind HTTP servers on loopback."""
+"""Litestar applications that expose the stand-ins over HTTP."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -48,7 +48,7 @@
     return Response(msgspec.json.encode(value), status_code=status, media_type="application/json")
 
 
-def _refusal(status: int) -> Any:
+def _error_handler(status: int) -> Any:
     def handler(_: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
         keys = list(error.keys) if isinstance(error, ConditionFailed) else str(error)
         return _json(keys, status)
@@ -56,24 +56,24 @@
     return handler
 
 
-_ERRORS: dict[int | type[Exception], Any] = {
-    AdmissionRefused: _refusal(503),
-    BackendServerUnreachable: _refusal(502),
-    BackendServerFailed: _refusal(500),
-    FencingRefused: _refusal(409),
-    ConditionFailed: _refusal(409),
-    StoreUnavailable: _refusal(503),
+_EXCEPTION_HANDLERS: dict[int | type[Exception], Any] = {
+    AdmissionRefused: _error_handler(503),
+    BackendServerUnreachable: _error_handler(502),
+    BackendServerFailed: _error_handler(500),
+    FencingRefused: _error_handler(409),
+    ConditionFailed: _error_handler(409),
+    StoreUnavailable: _error_handler(503),
 }
 
 
 def engine_app(engine: StandinEngine) -> Litestar:
-    """Return the HTTP form of a stand-in engine."""
+    """Return an HTTP application for a stand-in engine."""
 
-    async def lines(model: str, events: Any, first: EngineEvent) -> AsyncIterator[bytes]:
-        yield _sse(chunk_payload(first, model))
+    async def stream_body(model: str, events: Any, first: EngineEvent) -> AsyncIterator[bytes]:
+        yield _sse_event(chunk_payload(first, model))
         try:
             async for event in events:
-                yield _sse(chunk_payload(event, model))
+                yield _sse_event(chunk_payload(event, model))
         except BackendServerFailed:
             return
         finally:
@@ -86,7 +86,7 @@
         attempt = msgspec.json.decode(await request.body(), type=GenerationAttempt)
         events = engine.generate(attempt)
         first = await anext(events)
-        return Stream(lines(attempt.model, events, first), media_type="text/event-stream")
+        return Stream(stream_body(attempt.model, events, first), media_type="text/event-stream")
 
     @post("/v1/cancel/{attempt_id:str}", status_code=200)
     async def cancel(attempt_id: str) -> Response[bytes]:
@@ -118,13 +118,15 @@
         return _json({})
 
     handlers = [completions, cancel, status, orders, cache_events, export_cache, import_cache]
-    return Litestar(handlers, exception_handlers=_ERRORS, openapi_config=None, logging_config=None)
+    return Litestar(
+        handlers, exception_handlers=_EXCEPTION_HANDLERS, openapi_config=None, logging_config=None
+    )
 
 
 def platform_app(
     table: StandinTable, objects: StandinObjects, hosts: StandinHostList, weights: StandinWeights
 ) -> Litestar:
-    """Return the HTTP form of the platform's stores and lists."""
+    """Return an HTTP application for the platform's stores and its host list."""
 
     @post("/table/read", status_code=200)
     async def read(request: Request[Any, Any, Any]) -> Response[bytes]:
@@ -167,11 +169,13 @@
         return _json({}, 404) if found is None else _json(found)
 
     handlers = [read, scan, commit, put_object, get_object, delete_object, host_list, manifest]
-    return Litestar(handlers, exception_handlers=_ERRORS, openapi_config=None, logging_config=None)
+    return Litestar(
+        handlers, exception_handlers=_EXCEPTION_HANDLERS, openapi_config=None, logging_config=None
+    )
 
 
 def service_app(service: StandinService) -> Litestar:
-    """Return the HTTP form of a stand-in plain service."""
+    """Return an HTTP application for a stand-in plain service."""
 
     @route("/{path:path}", http_method=_HTTP_METHODS, status_code=200)
     async def call(path: str, request: Request[Any, Any, Any]) -> Response[bytes]:
@@ -193,19 +197,23 @@
         )
         return Response(answer.body, status_code=answer.status, media_type="application/json")
 
-    return Litestar([call], exception_handlers=_ERRORS, openapi_config=None, logging_config=None)
+    return Litestar(
+        [call], exception_handlers=_EXCEPTION_HANDLERS, openapi_config=None, logging_config=None
+    )
 
 
 def scoring_app(scoring: StandinScoring) -> Litestar:
-    """Return the HTTP form of a stand-in scoring service."""
+    """Return an HTTP application for a stand-in scoring service."""
 
     @post("/score", status_code=200)
     async def score(request: Request[Any, Any, Any]) -> Response[bytes]:
-        asked = msgspec.json.decode(await request.body(), type=ScoringRequest)
-        return _json(await scoring.score(asked, timeout_s=10.0))
+        scoring_request = msgspec.json.decode(await request.body(), type=ScoringRequest)
+        return _json(await scoring.score(scoring_request, timeout_s=10.0))
 
-    return Litestar([score], exception_handlers=_ERRORS, openapi_config=None, logging_config=None)
+    return Litestar(
+        [score], exception_handlers=_EXCEPTION_HANDLERS, openapi_config=None, logging_config=None
+    )
 
 
-def _sse(payload: dict[str, Any]) -> bytes:
+def _sse_event(payload: dict[str, Any]) -> bytes:
     return b"data: " + msgspec.json.encode(payload) + b"\n\n"
