--- a/src/verbenawind/standins/isolation.py
+++ b/src/verbenawind/standins/isolation.py
@@ -1,4 +1,4 @@
-"""Cuts a daemon that uses real sockets off from the platform, other zones and its peers."""
+"""Simulates network partitions for a daemon that uses real sockets."""
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
 
@@ -37,7 +37,7 @@
 
 
 class TrafficMeter:
-    """Counts the bytes of generated tokens that leave their engine's region."""
+    """Counts the bytes of generated tokens that are sent to another region."""
 
     __slots__ = ("cross_region_bytes",)
 
@@ -45,24 +45,24 @@
         self.cross_region_bytes = 0
 
     def count(self, event: EngineEvent) -> None:
-        """Add one event that went to another region."""
+        """Count one event that was sent to another region."""
         if isinstance(event, TokensGenerated):
             self.cross_region_bytes += len(event.text) + _TOKEN_BYTES * len(event.token_ids)
 
 
 class IsolatedProcess(Process):
-    """A daemon's place in the network; cut off from the platform it has no peers either."""
+    """A daemon process that, when partitioned from the platform, also loses its peer links."""
 
     @property
     def cut_off(self) -> bool:
-        """Whether the process's availability zone is cut off."""
+        """Whether the process's availability zone is partitioned from the platform."""
         return not self.network.reaches(self.zone, PLATFORM)
 
 
 def isolate(
     outside: Outside, process: IsolatedProcess, location: Location, meter: TrafficMeter
 ) -> Outside:
-    """Return *outside* with every call led through the process's network."""
+    """Return *outside* with every call routed through the process's simulated network."""
     return Outside(
         clock=outside.clock,
         rng=outside.rng,
@@ -76,7 +76,7 @@
 
 
 class _MeteredEngine(NetworkEngine):
-    """An engine in another region whose tokens are counted."""
+    """A client of an engine in another region that counts the bytes of its tokens."""
 
     def __init__(
         self, process: Process, server: BackendServer, engine: EngineClient, meter: TrafficMeter
@@ -85,7 +85,7 @@
         self.meter = meter
 
     async def generate(self, attempt: GenerationAttempt) -> AsyncGenerator[EngineEvent, None]:
-        """Stream an attempt and count what arrives."""
+        """Stream an attempt and count the bytes of its tokens."""
         events = super().generate(attempt)
         try:
             async for event in events:
@@ -96,7 +96,7 @@
 
 
 class _IsolatedClients(PluginBackendClients):
-    """Clients over real sockets, led through the process's network."""
+    """Clients over real sockets whose calls are routed through the simulated network."""
 
     __slots__ = ("_location", "_meter", "_process")
 
@@ -123,7 +123,7 @@
 
 
 class _IsolatedChannel:
-    """A link that loses everything while the process is cut off; implements PeerChannel."""
+    """A link that drops all messages while the process is cut off; implements PeerChannel."""
 
     __slots__ = ("_channel", "_process")
 
@@ -132,12 +132,12 @@
         self._channel = channel
 
     async def send(self, data: bytes) -> None:
-        """Send one message, or lose it."""
+        """Send one message; drop it while the process is cut off."""
         if not self._process.cut_off:
             await self._channel.send(data)
 
     async def receive(self) -> bytes:
-        """Return the next message that is not lost."""
+        """Return the next message that is not dropped."""
         while True:
             data = await self._channel.receive()
             if not self._process.cut_off:
@@ -149,7 +149,7 @@
 
 
 class _IsolatedTransport:
-    """Real links of a process that may be cut off; implements PeerTransport."""
+    """Real peer links of a process that may be cut off; implements PeerTransport."""
 
     __slots__ = ("_process", "_transport")
 
--- a/src/verbenawind/standins/network.py
+++ b/src/verbenawind/standins/network.py
@@ -1,4 +1,4 @@
-"""A network between stand-ins and daemons in one process: cuts, loss, delay, pauses."""
+"""A simulated network between stand-ins and daemons, with partitions, loss, delay and pauses."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable, Coroutine, Mapping, Sequence
@@ -60,11 +60,11 @@
 
 
 class StandinNetwork:
-    """Says which sites reach which others; a site is an availability zone or the platform.
+    """Defines which sites can reach each other; a site is an availability zone or the platform.
 
     Args:
         clock: Time source.
-        rng: Seeded randomness for loss.
+        rng: Seeded random source for message loss.
         delay_s: One-way delay between two sites, in seconds.
     """
 
@@ -82,21 +82,21 @@
         self._next_port = 7000
 
     def cut(self, source: str, target: str, *, both_ways: bool = True) -> None:
-        """Lose everything from *source* to *target*, and back unless one way only."""
+        """Drop all messages from *source* to *target* and, with *both_ways*, in reverse."""
         self._cuts.add((source, target))
         if both_ways:
             self._cuts.add((target, source))
 
     def heal(self) -> None:
-        """Undo every cut."""
+        """Remove all cuts."""
         self._cuts.clear()
 
     def reaches(self, source: str, target: str) -> bool:
         """Return whether *source* can send to *target*."""
         return (source, target) not in self._cuts
 
-    async def travel(self, source: str, target: str) -> bool:
-        """Wait one way's delay and return whether the message arrives."""
+    async def transmit(self, source: str, target: str) -> bool:
+        """Wait for the one-way delay and return whether the message arrives."""
         await self.clock.sleep(self._delay_s(source, target))
         return self.reaches(source, target)
 
@@ -107,7 +107,7 @@
 
 
 class Process:
-    """One daemon's place in the network; it can be paused as a whole, and killed.
+    """A daemon's process in the simulated network, which can be paused and resumed.
 
     Args:
         network: The network.
@@ -121,52 +121,51 @@
         self._running.set()
 
     def pause(self) -> None:
-        """Stop every call of the daemon to the outside, and its sleeps, until resumed."""
+        """Block the daemon's external calls and its sleeps until it is resumed."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let the daemon go on."""
+        """Unblock the daemon."""
         self._running.set()
 
-    async def gate(self) -> None:
-        """Wait while the process is paused."""
+    async def wait_until_running(self) -> None:
+        """Return when the process is not paused."""
         await self._running.wait()
 
     async def store_call(self, what: str, call: Callable[[], Awaitable[T]]) -> T:
-        """Run a call to the platform; raises StoreUnavailable when cut off."""
-        await self.gate()
-        if not await self.network.travel(self.zone, PLATFORM):
+        """Make a call to the platform; raises StoreUnavailable when it is cut off."""
+        await self.wait_until_running()
+        if not await self.network.transmit(self.zone, PLATFORM):
             await self.network.clock.sleep(CUT_DETECTION_S)
-            raise StoreUnavailable(f"{what}: the platform is cut off", effect_possible=False)
+            raise StoreUnavailable(f"{what}: platform is cut off", effect_possible=False)
         result = await call()
-        if not await self.network.travel(PLATFORM, self.zone):
+        if not await self.network.transmit(PLATFORM, self.zone):
             await self.network.clock.sleep(CUT_DETECTION_S)
-            raise StoreUnavailable(f"{what}: no answer", effect_possible=True)
-        await self.gate()
+            raise StoreUnavailable(f"{what}: no response from the platform", effect_possible=True)
+        await self.wait_until_running()
         return result
 
     async def backend_call(self, server: BackendServer, call: Callable[[], Awaitable[T]]) -> T:
-        """Run a call to a backend server; raises as the EngineClient port says."""
-        await self.gate()
+        """Make a call to a backend server; raises the errors of the EngineClient port."""
+        await self.wait_until_running()
         site = server.location.zone
-        if not await self.network.travel(self.zone, site):
+        if not await self.network.transmit(self.zone, site):
             await self.network.clock.sleep(CUT_DETECTION_S)
             raise BackendServerUnreachable(f"server {server.server_id} is cut off")
         result = await call()
-        if not await self.network.travel(site, self.zone):
+        if not await self.network.transmit(site, self.zone):
             await self.network.clock.sleep(CUT_DETECTION_S)
-            raise BackendServerFailed(f"server {server.server_id} gave no answer")
-        await self.gate()
+            raise BackendServerFailed(f"server {server.server_id} did not respond")
+        await self.wait_until_running()
         return result
 
 
 class GatedClock:
-    """A clock whose sleeps end only while the process runs; implements Clock.
+    """A clock whose sleeps do not end while the process is paused; implements Clock.
 
     Args:
         clock: The shared clock.
         process: The daemon's process.
-        skew_s: Added to the wall clock, in seconds.
     """
 
     def __init__(self, clock: Clock, process: Process) -> None:
@@ -176,13 +175,13 @@
         self.monotonic_s = clock.monotonic_s
 
     async def sleep(self, duration_s: float) -> None:
-        """Sleep, then wait while the process is paused."""
+        """Sleep, then wait until the process is not paused."""
         await self._clock.sleep(duration_s)
-        await self._process.gate()
+        await self._process.wait_until_running()
 
 
 class NetworkTable:
-    """The table service as one process reaches it; implements TableStore."""
+    """A process's client of the table service; implements TableStore."""
 
     def __init__(self, process: Process, table: TableStore) -> None:
         self._process = process
@@ -193,7 +192,7 @@
         return await self._process.store_call("read", lambda: self._table.read(keys))
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
-        """Return rows below *prefix*."""
+        """Return rows whose keys start with *prefix*."""
         return await self._process.store_call(
             "scan", lambda: self._table.scan(prefix, after=after, limit=limit)
         )
@@ -204,7 +203,7 @@
 
 
 class NetworkObjects:
-    """The object store as one process reaches it; implements ObjectStore."""
+    """A process's client of the object store; implements ObjectStore."""
 
     def __init__(self, process: Process, objects: ObjectStore) -> None:
         self._process = process
@@ -215,7 +214,7 @@
         await self._process.store_call("put", lambda: self._objects.put(key, data))
 
     async def get(self, key: str) -> bytes | None:
-        """Return the object, None when absent."""
+        """Return the object, or None if there is none."""
         return await self._process.store_call("get", lambda: self._objects.get(key))
 
     async def delete(self, key: str) -> None:
@@ -224,19 +223,19 @@
 
 
 class NetworkHosts:
-    """The host list as one process reaches it; implements HostList."""
+    """A process's client of the host list; implements HostList."""
 
     def __init__(self, process: Process, hosts: HostList) -> None:
         self._process = process
         self._hosts = hosts
 
     async def hosts(self) -> Sequence[HostEntry]:
-        """Return the hosts as the platform sees them."""
+        """Return the hosts that the platform lists."""
         return await self._process.store_call("hosts", self._hosts.hosts)
 
 
 class NetworkWeights:
-    """The weight store as one process reaches it; implements WeightStore."""
+    """A process's client of the weight store; implements WeightStore."""
 
     def __init__(self, process: Process, weights: WeightStore) -> None:
         self._process = process
@@ -250,7 +249,7 @@
 
 
 class NetworkEngine:
-    """One engine as one process reaches it; implements EngineClient."""
+    """A process's client of one engine; implements EngineClient."""
 
     def __init__(self, process: Process, server: BackendServer, engine: EngineClient) -> None:
         self._process = process
@@ -258,10 +257,10 @@
         self._engine = engine
 
     async def generate(self, attempt: GenerationAttempt) -> AsyncGenerator[EngineEvent, None]:
-        """Stream an attempt; a cut ends the stream with BackendServerFailed."""
+        """Stream an attempt; a network cut ends the stream with BackendServerFailed."""
         process, site = self._process, self._server.location.zone
-        await process.gate()
-        if not await process.network.travel(process.zone, site):
+        await process.wait_until_running()
+        if not await process.network.transmit(process.zone, site):
             await process.network.clock.sleep(CUT_DETECTION_S)
             raise BackendServerUnreachable(f"engine {self._server.server_id} is cut off")
         events = self._engine.generate(attempt)
@@ -270,7 +269,7 @@
                 if not process.network.reaches(site, process.zone):
                     await process.network.clock.sleep(CUT_DETECTION_S)
                     raise BackendServerFailed(f"engine {self._server.server_id} is cut off")
-                await process.gate()
+                await process.wait_until_running()
                 yield event
         finally:
             await events.aclose()
@@ -280,11 +279,11 @@
         await self._process.backend_call(self._server, lambda: self._engine.cancel(attempt_id))
 
     async def status(self) -> EngineStatus:
-        """Return the engine's report."""
+        """Return the engine's status."""
         return await self._process.backend_call(self._server, self._engine.status)
 
     async def order(self, order: EngineOrder) -> EngineStatus:
-        """Carry out an order."""
+        """Execute an order."""
         return await self._process.backend_call(self._server, lambda: self._engine.order(order))
 
     async def cache_events(self, position: int) -> CacheEvents:
@@ -306,11 +305,11 @@
         )
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
 
 
 class NetworkService:
-    """One host of a plain service as one process reaches it; implements ServiceClient."""
+    """A process's client of one plain-service host; implements ServiceClient."""
 
     def __init__(self, process: Process, server: BackendServer, service: ServiceClient) -> None:
         self._process = process
@@ -322,11 +321,11 @@
         return await self._process.backend_call(self._server, lambda: self._service.call(request))
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
 
 
 class NetworkScoring:
-    """One host of a scoring service as one process reaches it; implements ScoringClient."""
+    """A process's client of one scoring-service host; implements ScoringClient."""
 
     def __init__(self, process: Process, server: BackendServer, scoring: ScoringClient) -> None:
         self._process = process
@@ -340,4 +339,4 @@
         )
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -1,4 +1,4 @@
-"""Backend servers in memory that serve opaque requests and event streams, with faults."""
+"""In-memory engines for opaque requests and event streams, with fault injection."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -16,21 +16,25 @@
 _MISDIRECTED = 421
 _SERVER_ERROR = 500
 _UNPROCESSABLE = 422
-_QUEUE_POLL_S = 0.005
+_POLL_PERIOD_S = 0.005
 
 
 def text_of(item_id: str, events: int) -> str:
-    """Return the whole text of an item."""
+    """Return the complete text of an item."""
     return "\n".join(f"{item_id}.{number}" for number in range(1, events + 1))
 
 
 class OpaqueEngine:
-    """One engine.
+    """An in-memory engine and its faults.
+
+    ``down`` refuses connections and breaks streams; ``dark`` leaves every call without a response;
+    ``break_after`` breaks a stream after that many events; requests in ``refuse_items`` get status
+    422, those in ``fail_items`` status 500.
 
     Args:
-        instance: Its entry.
-        pace_s: Time of one event.
-        load_s: Time of a change of version.
+        instance: The engine's entry in the configuration.
+        pace_s: Time per event, in seconds.
+        load_s: Time to load a version, in seconds.
     """
 
     def __init__(self, instance: Instance, pace_s: float, load_s: float) -> None:
@@ -39,7 +43,7 @@
         self.load_s = load_s
         self.versions = dict(instance.versions)
         self.running = 0
-        self.most_running = 0
+        self.peak_running = 0
         self.dark = False
         self.down = False
         self.fail_items: set[str] = set()
@@ -51,7 +55,7 @@
 
 
 class _Answer:
-    """A response; implements the Answer port."""
+    """A response of an engine; implements the Answer port."""
 
     def __init__(
         self, engine: OpaqueEngine, attempt: Attempt, status: int, *, refused: bool = False
@@ -61,29 +65,29 @@
         self._engine = engine
         self._attempt = attempt
         self._refused = refused
-        self._next = (attempt.resume_after or 0) + 1
-        self._made = 0
-        self._version = engine.versions.get(_model(attempt), 0)
+        self._next_event_id = (attempt.resume_after or 0) + 1
+        self._events_sent = 0
+        self._version = engine.versions.get(_requested_model(attempt), 0)
         self._running = status == _OK and not refused
         self._body = [attempt.request.body] if self._running else []
 
     @property
     def refused(self) -> bool:
-        """Whether the request did not run."""
+        """Whether the engine refused the request without running it."""
         return self._refused
 
     @property
     def signed(self) -> bool:
-        """Every answer bears the server's mark."""
+        """Whether the response carries the server's stamp; always true."""
         return True
 
     @property
     def version(self) -> int | None:
-        """The version at the start."""
+        """The most recent weight version reported by the stream."""
         return self._version
 
     async def chunk(self) -> bytes:
-        """Return the request's body as the answer's."""
+        """Return the request body, once, as the response body."""
         if not self._body:
             self.close()
             return b""
@@ -91,51 +95,51 @@
         return self._body.pop()
 
     async def events(self) -> Sequence[StreamEvent] | None:
-        """Return the next event."""
+        """Return the next event, or None at the end of the stream."""
         engine = self._engine
-        if self._next > _events(self._attempt):
+        if self._next_event_id > _event_count(self._attempt):
             self.close()
             return None
         await asyncio.sleep(engine.pace_s)
-        await _until(lambda: not (engine.dark or engine.loading))
-        self._made += 1
-        broken = engine.break_after is not None and self._made > engine.break_after
+        await _wait_until(lambda: not (engine.dark or engine.loading))
+        self._events_sent += 1
+        broken = engine.break_after is not None and self._events_sent > engine.break_after
         if engine.down or broken:
             self.close()
-            raise BackendServerFailed("the stream broke off")
-        version = engine.versions.get(_model(self._attempt), 0)
+            raise BackendServerFailed("stream broke before its end")
+        version = engine.versions.get(_requested_model(self._attempt), 0)
         changed = version if version != self._version else None
         self._version = version
-        number, self._next = self._next, self._next + 1
+        number, self._next_event_id = self._next_event_id, self._next_event_id + 1
         data = f"{self._attempt.request.request_id}.{number}"
         return [StreamEvent(event_id=number, data=data, version=changed, raw=data.encode())]
 
     def close(self) -> None:
-        """End the run."""
+        """End the run and free its slot."""
         if self._running:
             self._running = False
             self._engine.running -= 1
 
 
 class OpaqueEngines:
-    """The engines by id; implements the ports of requests and of orders."""
+    """Engines by instance identifier; implements the ports for requests and for load orders."""
 
     def __init__(self) -> None:
         self.engines: dict[str, OpaqueEngine] = {}
 
     def add(self, instance: Instance, *, pace_s: float = 0.03, load_s: float = 0.9) -> OpaqueEngine:
-        """Start an engine."""
+        """Add an engine."""
         engine = self.engines[instance.instance_id] = OpaqueEngine(instance, pace_s, load_s)
         return engine
 
     async def send(self, instance: Instance, attempt: Attempt) -> _Answer:
-        """Admit a request in order of arrival."""
+        """Send a request, waiting for a free slot."""
         engine = self.engines[instance.instance_id]
         request_id = attempt.request.request_id
         if engine.down:
             raise BackendServerUnreachable(f"engine {instance.instance_id} is down")
-        await _until(lambda: not engine.dark)
-        model = _model(attempt)
+        await _wait_until(lambda: not engine.dark)
+        model = _requested_model(attempt)
         if engine.loading:
             return _Answer(engine, attempt, _UNAVAILABLE, refused=True)
         if attempt.expect_version not in (None, engine.versions.get(model, 0)):
@@ -144,32 +148,32 @@
             return _Answer(engine, attempt, _UNPROCESSABLE)
         if request_id in engine.fail_items:
             return _Answer(engine, attempt, _SERVER_ERROR)
-        await _until(lambda: engine.running < instance.slots)
+        await _wait_until(lambda: engine.running < instance.slots)
         engine.running += 1
-        engine.most_running = max(engine.most_running, engine.running)
+        engine.peak_running = max(engine.peak_running, engine.running)
         now_s = asyncio.get_running_loop().time()
         engine.started.append((now_s, request_id, attempt.resume_after))
         return _Answer(engine, attempt, _OK)
 
     async def order(self, instance: Instance, order: LoadOrder, timeout_s: float) -> OrderReply:
-        """Begin to load a version."""
+        """Start loading a version."""
         engine = self.engines[instance.instance_id]
         if engine.down:
             return OrderReply(answer=OrderAnswer.UNREACHABLE, detail="down")
         if order.expected_orders not in (None, len(engine.orders)):
-            return OrderReply(answer=OrderAnswer.BUSY, detail="other orders")
+            return OrderReply(answer=OrderAnswer.BUSY, detail="order count differs")
         if engine.loading:
             return OrderReply(answer=OrderAnswer.BUSY, detail="loading")
         if engine.versions.get(order.model, 0) >= order.version:
-            return OrderReply(answer=OrderAnswer.HOLDS, detail="there")
+            return OrderReply(answer=OrderAnswer.HOLDS, detail="version already loaded")
         loop = asyncio.get_running_loop()
         engine.orders.append((loop.time(), order.fencing_number, order))
         engine.loading = True
-        loop.call_later(engine.load_s, self._loaded, engine, order)
+        loop.call_later(engine.load_s, self._finish_loading, engine, order)
         return OrderReply(answer=OrderAnswer.ACCEPTED, detail="accepted")
 
     async def report(self, instance: Instance, timeout_s: float) -> EngineReport | None:
-        """Return an engine's report."""
+        """Return the status of an engine, or None if it is down."""
         engine = self.engines[instance.instance_id]
         if engine.down:
             return None
@@ -182,23 +186,23 @@
         )
 
     @staticmethod
-    def _loaded(engine: OpaqueEngine, order: LoadOrder) -> None:
+    def _finish_loading(engine: OpaqueEngine, order: LoadOrder) -> None:
         engine.versions[order.model] = order.version
         engine.loading = False
 
 
-async def _until(condition: Callable[[], bool]) -> None:
-    """Return once a condition holds."""
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    """Poll until a condition is true."""
     while True:
         if condition():
             return
-        await asyncio.sleep(_QUEUE_POLL_S)
+        await asyncio.sleep(_POLL_PERIOD_S)
 
 
-def _events(attempt: Attempt) -> int:
-    """Return how many events a request makes; its body says so."""
+def _event_count(attempt: Attempt) -> int:
+    """Return the number of events of a request, which is given in its body."""
     return int(attempt.request.body or b"1")
 
 
-def _model(attempt: Attempt) -> str:
+def _requested_model(attempt: Attempt) -> str:
     return dict(attempt.request.headers).get("model", "")
--- a/src/verbenawind/standins/parties.py
+++ b/src/verbenawind/standins/parties.py
@@ -256,7 +256,9 @@
             work.close()
             raise Lost(f"{daemon_id} takes no calls")
         process = self.world.processes[daemon_id]
-        task = asyncio.get_running_loop().create_task(_gated(process.gate, work), name=name)
+        task = asyncio.get_running_loop().create_task(
+            _gated(process.wait_until_running, work), name=name
+        )
         calls.add(task)
         task.add_done_callback(calls.discard)
         done, _ = await asyncio.wait({task}, timeout=CALL_TIMEOUT_S)
@@ -303,11 +305,13 @@
         return True
 
 
-async def _gated(gate: Callable[[], Awaitable[None]], work: Coroutine[Any, Any, T]) -> T:
+async def _gated(
+    wait_until_running: Callable[[], Awaitable[None]], work: Coroutine[Any, Any, T]
+) -> T:
     try:
-        await gate()
+        await wait_until_running()
         result = await work
-        await gate()
+        await wait_until_running()
         return result
     finally:
         work.close()
--- a/src/verbenawind/standins/peer_network.py
+++ b/src/verbenawind/standins/peer_network.py
@@ -1,4 +1,4 @@
-"""Links between the daemons of one process: they lose, delay and cut as the network does."""
+"""In-memory peer links between daemons, subject to the loss, delay and cuts of the network."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,19 +11,19 @@
 
 
 class _Channel:
-    """One end of a link between two processes; implements PeerChannel."""
+    """One end of a link between two daemon processes; implements PeerChannel."""
 
     def __init__(self, process: Process, remote_zone: str) -> None:
         self._process = process
         self._remote_zone = remote_zone
         self._inbox: asyncio.Queue[tuple[float, bytes | None]] = asyncio.Queue()
         self._closed = False
-        self.other: _Channel | None = None
+        self.remote_end: _Channel | None = None
 
     async def send(self, data: bytes) -> None:
-        """Send one message; it may get lost on the way."""
-        await self._process.gate()
-        if self._closed or self.other is None or self.other._closed:
+        """Send one message, which the network may drop."""
+        await self._process.wait_until_running()
+        if self._closed or self.remote_end is None or self.remote_end._closed:
             raise PeerUnreachable(f"link to zone {self._remote_zone} is closed")
         network = self._process.network
         if not network.reaches(self._process.zone, self._remote_zone):
@@ -33,16 +33,16 @@
         arrival_s = network.clock.monotonic_s() + network._delay_s(
             self._process.zone, self._remote_zone
         )
-        self.other._inbox.put_nowait((arrival_s, data))
+        self.remote_end._inbox.put_nowait((arrival_s, data))
 
     async def receive(self) -> bytes:
-        """Return the next message that arrives."""
+        """Return the next message once its delay has passed."""
         if self._closed:
             raise PeerUnreachable(f"link to zone {self._remote_zone} is closed")
         arrival_s, data = await self._inbox.get()
         clock = self._process.network.clock
         await clock.sleep(max(0.0, arrival_s - clock.monotonic_s()))
-        await self._process.gate()
+        await self._process.wait_until_running()
         if data is None:
             self._closed = True
             raise PeerUnreachable(f"link to zone {self._remote_zone} is closed")
@@ -54,14 +54,14 @@
 
     def close(self) -> None:
         """Close both ends without waiting."""
-        for end in (self, self.other):
+        for end in (self, self.remote_end):
             if end is not None and not end._closed:
                 end._closed = True
                 end._inbox.put_nowait((0.0, None))
 
 
 class NetworkTransport:
-    """Links between the daemons of one process's tests; implements PeerTransport."""
+    """Opens in-memory links between daemons in one test process; implements PeerTransport."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -90,24 +90,24 @@
 
     async def connect(self, address: str) -> PeerChannel:
         """Open a link to the daemon at *address*."""
-        await self._process.gate()
+        await self._process.wait_until_running()
         network = self._process.network
         zone, serve = network.listeners.get(address, (None, None))
         if zone is None or serve is None:
             await network.clock.sleep(0.001)
             raise PeerUnreachable(f"peer {address}: connection refused")
-        there = await network.travel(self._process.zone, zone)
-        if not there or not await network.travel(zone, self._process.zone):
+        arrived = await network.transmit(self._process.zone, zone)
+        if not arrived or not await network.transmit(zone, self._process.zone):
             await network.clock.sleep(CUT_DETECTION_S)
-            raise PeerUnreachable(f"peer {address}: timed out")
-        near = _Channel(self._process, zone)
-        far = _Channel(self._process, self._process.zone)
-        near.other, far.other = far, near
-        self._channels.add(near)
-        task = asyncio.get_running_loop().create_task(serve(far))
+            raise PeerUnreachable(f"peer {address}: connection timed out")
+        local = _Channel(self._process, zone)
+        remote = _Channel(self._process, self._process.zone)
+        local.remote_end, remote.remote_end = remote, local
+        self._channels.add(local)
+        task = asyncio.get_running_loop().create_task(serve(remote))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return near
+        return local
 
     async def aclose(self) -> None:
         """Stop listening and close every link."""
