--- a/src/verbenawind/standins/engine.py
+++ b/src/verbenawind/standins/engine.py
@@ -296,7 +296,7 @@
             self._check_not_restarted(incarnation)
             weights.staged.add(order.version)
         if order.drain_first:
-            await self._drain(order.model, incarnation)
+            await self._collect_events(order.model, incarnation)
         weights.state = SwapState.SWAPPING
         weights.previous, weights.active = weights.active, None
         await self._clock.sleep(self._swap_s)
@@ -310,7 +310,7 @@
         weights.staged.discard(order.version)
         weights.state = SwapState.IDLE
 
-    async def _drain(self, model: str, incarnation: int) -> None:
+    async def _collect_events(self, model: str, incarnation: int) -> None:
         self._draining.add(model)
         try:
             while any(running.attempt.model == model for running in self._running.values()):
--- a/src/verbenawind/standins/platform.py
+++ b/src/verbenawind/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's table service, object store, host list and weight store."""
+"""In-memory table service, object store, host list and weight store with fault injection."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -24,10 +24,11 @@
 
 
 class StoreFaults:
-    """Fault knobs of a store.
+    """Faults to inject into a store.
 
-    ``down`` refuses every call; ``lose_answer_rate`` is the share of calls whose answer is lost
-    after the effect; ``delay_s`` slows every answer.
+    ``down`` rejects every call; ``lose_answer_rate`` is the fraction of calls whose response is
+    lost after they have taken effect; ``lose_next_answers`` is the number of next calls to which
+    the same happens; ``delay_s`` delays every call.
     """
 
     __slots__ = ("delay_s", "down", "lose_answer_rate", "lose_next_answers")
@@ -40,7 +41,7 @@
 
 
 class _Store:
-    """The faults and counters that the two stores share."""
+    """Base class of the table and the object store, with their faults and counters."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self.faults = StoreFaults()
@@ -53,20 +54,20 @@
     async def _served(self, what: str, effect: Callable[[], Awaitable[T]]) -> T:
         await asyncio.sleep(0)
         if self.faults.down:
-            raise StoreUnavailable(f"{what}: the store is down", effect_possible=False)
+            raise StoreUnavailable(f"{what}: store is down", effect_possible=False)
         if self.faults.delay_s:
             await self._clock.sleep(self.faults.delay_s)
         result = await effect()
         if self.faults.lose_next_answers > 0:
             self.faults.lose_next_answers -= 1
-            raise StoreUnavailable(f"{what}: the answer was lost", effect_possible=True)
+            raise StoreUnavailable(f"{what}: response lost", effect_possible=True)
         if self._rng.random() < self.faults.lose_answer_rate:
-            raise StoreUnavailable(f"{what}: the answer was lost", effect_possible=True)
+            raise StoreUnavailable(f"{what}: response lost", effect_possible=True)
         return result
 
 
 class StandinTable(_Store):
-    """A table service in memory; implements the TableStore port."""
+    """An in-memory table service; implements the TableStore port."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         super().__init__(clock, rng)
@@ -83,7 +84,7 @@
         return await self._served("read", effect)
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
-        """Return rows below *prefix* that sort after *after*."""
+        """Return rows whose keys start with *prefix* and sort after *after*."""
 
         async def effect() -> Sequence[Row]:
             self.reads += 1
@@ -98,10 +99,10 @@
         return await self._served("scan", effect)
 
     async def commit(self, transaction: Transaction) -> None:
-        """Apply a transaction whole or not at all."""
+        """Apply a transaction atomically."""
 
         async def effect() -> None:
-            failed = [write.key for write in transaction.writes if not self._holds(write)]
+            failed = [write.key for write in transaction.writes if not self._check_passes(write)]
             if failed:
                 raise ConditionFailed(failed)
             self.transactions += 1
@@ -110,7 +111,7 @@
 
         await self._served("commit", effect)
 
-    def _holds(self, write: Write) -> bool:
+    def _check_passes(self, write: Write) -> bool:
         if write.expect_version is None:
             return True
         row = self.rows.get(write.key)
@@ -134,7 +135,7 @@
 
 
 class StandinObjects(_Store):
-    """An object store in memory; implements the ObjectStore port."""
+    """An in-memory object store; implements the ObjectStore port."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         super().__init__(clock, rng)
@@ -151,7 +152,7 @@
         await self._served("put", effect)
 
     async def get(self, key: str) -> bytes | None:
-        """Return the object, None when absent."""
+        """Return the object, or None if there is none."""
 
         async def effect() -> bytes | None:
             self.reads += 1
@@ -170,7 +171,7 @@
 
 
 class StandinHostList:
-    """A host list that shows changes ``lag_s`` seconds late; implements the HostList port."""
+    """A host list that shows changes with a delay of ``lag_s``; implements the HostList port."""
 
     def __init__(self, clock: Clock, lag_s: float = 5.0) -> None:
         self.lag_s = lag_s
@@ -179,7 +180,7 @@
         self._changes: list[tuple[float, str, HostEntry | None]] = []
 
     def add(self, entry: HostEntry, *, at_once: bool = False) -> None:
-        """Add or replace a host."""
+        """Add or replace a host; with *at_once* the change is visible immediately."""
         at_s = self._clock.monotonic_s() - (self.lag_s if at_once else 0.0)
         self._changes.append((at_s, entry.host_id, entry))
 
@@ -188,7 +189,7 @@
         self._changes.append((self._clock.monotonic_s(), host_id, None))
 
     def mark_leaving(self, host_id: str) -> None:
-        """List a host as leaving."""
+        """Change a host's state to leaving."""
         entry = self._newest(host_id)
         if entry is not None:
             leaving = HostEntry(
@@ -205,11 +206,11 @@
     async def hosts(self) -> Sequence[HostEntry]:
         """Return the list as it was ``lag_s`` seconds ago."""
         if self.down:
-            raise StoreUnavailable("hosts: the host list is down", effect_possible=False)
-        horizon_s = self._clock.monotonic_s() - self.lag_s
+            raise StoreUnavailable("hosts: host list is down", effect_possible=False)
+        visible_until_s = self._clock.monotonic_s() - self.lag_s
         hosts: dict[str, HostEntry] = {}
         for at_s, host_id, entry in self._changes:
-            if at_s > horizon_s:
+            if at_s > visible_until_s:
                 continue
             hosts.pop(host_id, None)
             if entry is not None:
@@ -224,13 +225,13 @@
 
 
 class StandinWeights:
-    """A weight store that knows every version that was put; implements the WeightStore port."""
+    """An in-memory weight store that holds only manifests; implements the WeightStore port."""
 
     def __init__(self) -> None:
         self._manifests: dict[tuple[str, int], WeightManifest] = {}
 
     def put(self, model: str, version: int, size_bytes: int = 1 << 20) -> WeightManifest:
-        """Store a version and return its manifest."""
+        """Add a version and return its manifest."""
         manifest = WeightManifest(
             model=model, version=version, size_bytes=size_bytes, uri=f"weights://{model}/{version}"
         )
@@ -238,5 +239,5 @@
         return manifest
 
     async def manifest(self, model: str, version: int) -> WeightManifest | None:
-        """Return a version's manifest, None when it was never put."""
+        """Return the manifest of a version, or None if there is no such version."""
         return self._manifests.get((model, version))
--- a/src/verbenawind/standins/playground.py
+++ b/src/verbenawind/standins/playground.py
@@ -1,7 +1,7 @@
-"""Serves stand-ins on loopback, so that a daemon can be tried without a platform.
+"""Serves stand-ins on loopback for trying a daemon without a real platform.
 
-``python -m verbenawind.standins.playground`` serves a platform at 127.0.0.1:9000 and, for each
-document of the examples, its engines and services, until it is interrupted.
+``python -m verbenawind.standins.playground`` serves a platform at 127.0.0.1:9000 and the engines
+and services of each example document until it is interrupted.
 """
 
 import asyncio
@@ -30,11 +30,11 @@
 
 __all__ = ["Playground"]
 
-_PORT = flags.DEFINE_integer("platform_port", 9000, "Port of the platform, 0 for any.")
+_PORT = flags.DEFINE_integer("platform_port", 9000, "Port of the platform; 0 selects a free port.")
 _DOCUMENTS = flags.DEFINE_multi_string(
     "document",
     ["examples/siam-fold-and-seal.jsonc", "examples/kallioniemi.jsonc"],
-    "Documents whose backend servers are wanted.",
+    "Environment document whose backend servers are started; may be repeated.",
 )
 _LOCATION = Location(zone="bangkok-a", region="bangkok")
 _ENGINES_PER_POOL = 4
@@ -42,11 +42,11 @@
 
 
 class Playground:
-    """Serves a platform and the backend servers that documents name.
+    """Serves a platform and the backend servers of environment documents.
 
     Args:
-        documents: The documents.
-        port: Port of the platform, 0 for any.
+        documents: Environment documents.
+        port: Port of the platform; 0 selects a free port.
     """
 
     def __init__(self, documents: Sequence[EnvironmentDocument], port: int) -> None:
@@ -58,7 +58,7 @@
         self._servers: list[HttpServer] = []
 
     async def start(self) -> str:
-        """Start everything and return the platform's address."""
+        """Start all servers and return the platform's address."""
         table = StandinTable(self._clock, self._rng)
         objects = StandinObjects(self._clock, self._rng)
         platform = platform_app(table, objects, self._hosts, StandinWeights())
@@ -68,7 +68,7 @@
         return address
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all servers."""
         for server in self._servers:
             await server.kill()
 
@@ -107,7 +107,7 @@
 
 async def _run(documents: Sequence[EnvironmentDocument]) -> None:
     playground = Playground(documents, _PORT.value)
-    print(f"platform at http://{await playground.start()}; interrupt to stop", flush=True)
+    print(f"platform at http://{await playground.start()}; press Ctrl+C to stop", flush=True)
     await asyncio.Event().wait()
 
 
--- a/src/verbenawind/standins/services.py
+++ b/src/verbenawind/standins/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a plain service and a scoring service."""
+"""In-memory plain service and scoring service with fault injection."""
 
 import asyncio
 import zlib
@@ -19,14 +19,15 @@
 
 
 def expected_grade(text: str) -> float:
-    """Return the grade that the stand-in scoring service gives a text, from 0 to 1."""
+    """Return the grade from 0 to 1 that the stand-in scoring service assigns to a text."""
     return zlib.crc32(text.encode()) % 1000 / 1000.0
 
 
 class StandinService:
-    """A plain service that counts how often each request ran; implements ServiceClient.
+    """A host of a plain service that counts the runs of each request; implements ServiceClient.
 
-    ``crash_on_mark`` drops the connection of a request whose body has it, after the effect.
+    ``unreachable`` refuses connections; ``lose_next_answers`` is the number of next requests whose
+    connection is dropped after they have run.
     """
 
     def __init__(self, server_id: str, clock: Clock, *, answer_s: float = 0.01) -> None:
@@ -40,7 +41,7 @@
         self._clock = clock
 
     async def call(self, request: ServiceRequest) -> ServiceResponse:
-        """Run the request and echo what it asked for."""
+        """Run the request and return its method, path and body."""
         if self.unreachable:
             raise BackendServerUnreachable(f"service host {self.server_id} refuses connections")
         self.runs[request.idempotency_key or request.request_id] += 1
@@ -65,9 +66,10 @@
 
 
 class StandinScoring:
-    """A scoring service; implements ScoringClient.
+    """A host of a scoring service; implements ScoringClient.
 
-    ``never_answer_next`` makes that many calls hang until their timeout.
+    ``unreachable`` refuses connections; ``never_answer_next`` is the number of next calls that
+    hang until their timeout.
     """
 
     def __init__(self, server_id: str, clock: Clock, *, answer_s: float = 0.01) -> None:
@@ -79,14 +81,14 @@
         self._clock = clock
 
     async def score(self, request: ScoringRequest, timeout_s: float) -> ScoringResponse:
-        """Return the deterministic grade of the sample's text."""
+        """Return ``expected_grade`` of the sample's text."""
         if self.unreachable:
             raise BackendServerUnreachable(f"scoring host {self.server_id} refuses connections")
         self.calls[request.sample_id] += 1
         if self.never_answer_next > 0:
             self.never_answer_next -= 1
             await self._clock.sleep(timeout_s)
-            raise BackendServerFailed(f"scoring host {self.server_id} gave no answer")
+            raise BackendServerFailed(f"scoring host {self.server_id} did not respond")
         async with asyncio.timeout(timeout_s):
             await self._clock.sleep(self.answer_s)
         return ScoringResponse(sample_id=request.sample_id, value=expected_grade(request.text))
