--- a/src/verbenawind/standins/demo.py
+++ b/src/verbenawind/standins/demo.py
@@ -1,6 +1,6 @@
-"""The demonstration: a trainer and application callers before three daemons, on loopback.
+"""The demonstration: a trainer and application callers using three daemons on loopback.
 
-All counts come from what the trainer, the callers and the backend servers saw.
+All reported counts are taken by the trainer, the callers and the backend servers.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from verbenawind.logs import configure_logs
 from verbenawind.standins.demo_faults import inject_faults
 from verbenawind.standins.demo_load import ApplicationCallers
-from verbenawind.standins.demo_summary import DemoSummary, broken_promises
+from verbenawind.standins.demo_summary import DemoSummary, violated_guarantees
 from verbenawind.standins.demo_world import MAX_VERSIONS, MODEL, TRAINER_TOKEN, DemoWorld, document
 from verbenawind.standins.trainer import StandinTrainer
 from verbenawind.standins.trainer_calls import HttpTrainerCalls
@@ -37,7 +37,7 @@
 
 
 class _Demo:
-    """One run.
+    """One run of the demonstration.
 
     Args:
         seed: Seed of the stand-ins' randomness.
@@ -66,7 +66,7 @@
         )
 
     async def run(self) -> DemoSummary:
-        """Start everything, let the load run, and shut everything down."""
+        """Start all processes, run the load and shut down."""
         await self._world.start()
         await self._world.apply_document(json.dumps(document()))
         await asyncio.sleep(_SETTLE_S)
@@ -78,7 +78,7 @@
                 if self._faults:
                     tasks.create_task(inject_faults(self._world))
         except TimeoutError:
-            print(f"  the load did not end within {_TIMEOUT_S:.0f} s")
+            print(f"  load did not finish within {_TIMEOUT_S:.0f} s")
         finally:
             progress.cancel()
         await self._world.stop()
@@ -90,7 +90,7 @@
             print(
                 f"  version {self._trainer.version}: {sum(report.samples.values())} samples, "
                 f"{sum(report.grades.values())} grades, "
-                f"{self._callers.answers_whole} whole answers, "
+                f"{self._callers.answers_whole} complete answers, "
                 f"{self._callers.bookings_confirmed} bookings",
                 flush=True,
             )
@@ -123,15 +123,15 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the demonstration; exit with 1 when a promise broke."""
+    """Run the demonstration; exit with status 1 if a guarantee was violated."""
     configure_logs("critical")
     summary = asyncio.run(_Demo(_SEED.value, _FAULTS.value).run())
     for name in summary.__struct_fields__:
         print(f"  {name.replace('_', ' '):30} {getattr(summary, name)}")
-    broken = broken_promises(summary)
-    print(f"broken promises: {', '.join(broken) or 'none'}")
+    violated = violated_guarantees(summary)
+    print(f"violated guarantees: {', '.join(violated) or 'none'}")
     print(msgspec.json.encode(summary).decode())
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violated else 0)
 
 
 if __name__ == "__main__":
--- a/src/verbenawind/standins/demo_load.py
+++ b/src/verbenawind/standins/demo_load.py
@@ -1,4 +1,4 @@
-"""The demonstration's application callers, who retry by the outcome that an error names."""
+"""The demonstration's application callers, which retry depending on the outcome in the error."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,19 +15,20 @@
 
 _TIMEOUT_S = 15.0
 _RETRY_S = 0.3
-_ATTEMPTS = 40
+_MAX_ATTEMPTS = 40
 _MAX_TOKENS = 64
 
 
 class ApplicationCallers:
-    """Asks for answers and makes bookings at all daemons in turn.
+    """Sends generation requests and non-idempotent service calls to all daemons, round-robin.
 
     Args:
-        base_urls: The daemons' URLs; a replaced daemon's URL changes in place.
-        answers: How many answers to ask for.
-        bookings: How many bookings to make.
-        period_s: Time between two requests of a kind, in seconds.
-        versions: The weight versions that may have produced an answer.
+        base_urls: Base URLs of the daemons; updated in place when a daemon is replaced.
+        answers: Number of generation requests.
+        bookings: Number of service calls.
+        period_s: Time between generation requests, in seconds; the service calls are spread over
+            the same total time.
+        versions: Weight versions that may have generated an answer.
     """
 
     def __init__(
@@ -53,18 +54,18 @@
         )
 
     async def run(self) -> None:
-        """Send everything and wait for the last answer."""
+        """Send all requests and wait for the last response."""
         async with self._client, asyncio.TaskGroup() as tasks:
             for number in range(self._answers):
-                tasks.create_task(self._ask(number))
+                tasks.create_task(self._request_answer(number))
             for number in range(self._bookings):
-                tasks.create_task(self._book(number))
+                tasks.create_task(self._make_booking(number))
 
-    async def _ask(self, number: int) -> None:
+    async def _request_answer(self, number: int) -> None:
         await asyncio.sleep(number * self._period_s)
         prompt = f"glue spec of die {number}"
         body = {"model": MODEL, "prompt": prompt, "seed": number, "max_tokens": _MAX_TOKENS}
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             url = f"{self._urls[(number + attempt) % len(self._urls)]}/completions"
             try:
                 answer = await self._client.post(url, json=body)
@@ -73,14 +74,14 @@
                 continue
             if answer.status_code == httpx.codes.OK:
                 text = answer.json()["choices"][0]["text"]
-                self.answers_whole += self._is_whole(text, prompt, number)
+                self.answers_whole += self._is_complete(text, prompt, number)
                 return
             await asyncio.sleep(_RETRY_S)
 
-    async def _book(self, number: int) -> None:
+    async def _make_booking(self, number: int) -> None:
         await asyncio.sleep(number * self._period_s * self._answers / self._bookings)
         headers = {"idempotency-key": f"booking-{number}"}
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             base = self._urls[(number + attempt) % len(self._urls)]
             url = f"{base}/services/{SERVICE}/bookings/{number}"
             try:
@@ -96,7 +97,7 @@
                 return
             await asyncio.sleep(error.retry_after_s or _RETRY_S)
 
-    def _is_whole(self, text: str, prompt: str, seed: int) -> bool:
+    def _is_complete(self, text: str, prompt: str, seed: int) -> bool:
         tokens = [int(word[1:]) for word in text.split()]
         if len(tokens) != min(_MAX_TOKENS, natural_length(prompt, seed)):
             return False
--- a/src/verbenawind/standins/demo_summary.py
+++ b/src/verbenawind/standins/demo_summary.py
@@ -1,12 +1,12 @@
-"""What the demonstration reports, and which promises a run broke."""
+"""The demonstration's summary and the check for violated guarantees."""
 
 import msgspec
 
-__all__ = ["DemoSummary", "broken_promises"]
+__all__ = ["DemoSummary", "violated_guarantees"]
 
 
 class DemoSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """The last line of the demonstration's output."""
+    """Summary of a run, printed as JSON in the last line of the output."""
 
     samples_expected: int
     samples_delivered: int
@@ -26,19 +26,19 @@
     engine_crashes: int
 
 
-def broken_promises(summary: DemoSummary) -> list[str]:
-    """Return the fields of the summary that break a promise of the service."""
+def violated_guarantees(summary: DemoSummary) -> list[str]:
+    """Return the fields of the summary that show a violated guarantee."""
     must_be_zero = (
         "duplicate_samples",
         "stale_samples",
         "unlabelled_samples",
         "non_idempotent_double_runs",
     )
-    broken = [name for name in must_be_zero if getattr(summary, name)]
+    violated = [name for name in must_be_zero if getattr(summary, name)]
     if summary.samples_delivered != summary.samples_expected:
-        broken.append("samples_delivered")
+        violated.append("samples_delivered")
     if summary.grades_delivered != summary.grades_sent:
-        broken.append("grades_delivered")
+        violated.append("grades_delivered")
     if summary.answers_whole != summary.answers_expected:
-        broken.append("answers_whole")
-    return broken
+        violated.append("answers_whole")
+    return violated
--- a/src/verbenawind/standins/demo_world.py
+++ b/src/verbenawind/standins/demo_world.py
@@ -1,4 +1,4 @@
-"""The demonstration's world: stand-ins behind HTTP servers and three daemons on loopback."""
+"""The demonstration's deployment: stand-ins behind HTTP servers and three daemons on loopback."""
 
 from random import Random
 
@@ -49,7 +49,7 @@
 
 
 def document() -> dict[str, object]:
-    """Return the environment document of the demonstration."""
+    """Return the demonstration's environment document."""
     trainer = {
         "name": "plant-trainer",
         "kind": "trainer",
@@ -76,10 +76,10 @@
 
 
 class DemoWorld:
-    """The platform, the engines, the plain service and the daemons.
+    """The platform, engines, plain service hosts and daemons of the demonstration.
 
     Args:
-        seed: Seed of all randomness of the stand-ins.
+        seed: Seed of the stand-ins' randomness.
     """
 
     def __init__(self, seed: int) -> None:
@@ -99,25 +99,25 @@
         self._platform_address = ""
 
     async def start(self) -> None:
-        """Start every stand-in and one daemon in each availability zone."""
+        """Start all stand-ins and one daemon in each availability zone."""
         platform = platform_app(self.table, self.objects, self.hosts, self.weights)
         self._platform_address = await self._serve(platform)
         for index in range(_ENGINES):
             engine = StandinEngine(f"engine-{index}", {MODEL: 0}, self.clock, self.rng)
             self.engines.append(engine)
             address = await self._serve(engine_app(engine))
-            self._list(engine.server_id, HostRole.ENGINE, POOL, address, index)
+            self._add_to_host_list(engine.server_id, HostRole.ENGINE, POOL, address, index)
         for index in range(len(_REGIONS)):
             service = StandinService(f"{SERVICE}-{index}", self.clock)
             self.services.append(service)
             address = await self._serve(service_app(service))
-            self._list(service.server_id, HostRole.SERVICE, SERVICE, address, index)
+            self._add_to_host_list(service.server_id, HostRole.SERVICE, SERVICE, address, index)
         for index in range(len(_REGIONS)):
             self.daemons.append(await self._start_daemon(f"daemon-{index}", index))
             self.base_urls.append(self._base_url(index))
 
     async def apply_document(self, text: str) -> None:
-        """Put a document into production through the first daemon."""
+        """Apply a document to the production stage at the first daemon."""
         path = f"/operators/v1/environments/{ENVIRONMENT}/production"
         async with httpx.AsyncClient(trust_env=False) as operator:
             response = await operator.put(
@@ -128,23 +128,23 @@
             response.raise_for_status()
 
     async def kill_daemon(self, index: int) -> None:
-        """Let a daemon die without a word."""
+        """Stop a daemon abruptly, without a graceful shutdown."""
         await self.daemons[index].kill()
 
     async def replace_daemon(self, index: int) -> None:
-        """Start a new daemon, on a new address, in the place of a dead one."""
+        """Start a daemon at a new address in place of a killed one."""
         self.daemons[index] = await self._start_daemon(f"daemon-{index}-replaced", index)
         self.base_urls[index] = self._base_url(index)
 
     def cut_off(self, index: int) -> None:
-        """Cut an availability zone off from the platform and the other zones."""
+        """Partition an availability zone from the platform and the other zones."""
         zone = f"{_REGIONS[index]}-a"
         for other in (PLATFORM, *(f"{region}-a" for region in _REGIONS)):
             if other != zone:
                 self.network.cut(zone, other)
 
     async def stop(self) -> None:
-        """Shut the daemons down gracefully, then end the stand-ins."""
+        """Shut the daemons down gracefully, then stop the stand-ins."""
         for daemon in self.daemons:
             await daemon.stop()
         for engine in self.engines:
@@ -182,7 +182,9 @@
         self._servers.append(server)
         return server.address
 
-    def _list(self, host_id: str, role: HostRole, group: str, address: str, index: int) -> None:
+    def _add_to_host_list(
+        self, host_id: str, role: HostRole, group: str, address: str, index: int
+    ) -> None:
         region = _REGIONS[index % len(_REGIONS)]
         entry = HostEntry(
             host_id=host_id,
--- a/src/verbenawind/standins/services.py
+++ b/src/verbenawind/standins/services.py
@@ -62,7 +62,7 @@
         )
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
 
 
 class StandinScoring:
@@ -94,4 +94,4 @@
         return ScoringResponse(sample_id=request.sample_id, value=expected_grade(request.text))
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
--- a/src/verbenawind/standins/trainer.py
+++ b/src/verbenawind/standins/trainer.py
@@ -1,4 +1,4 @@
-"""A stand-in trainer: submits steps, polls, checks labels, grades, publishes versions."""
+"""A stand-in trainer that submits steps, polls, checks labels, grades and publishes versions."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping, Sequence
@@ -28,12 +28,12 @@
 
 
 def step_prompt(step: int, group: int) -> str:
-    """Return a prompt that differs in each step and group."""
+    """Return a prompt that is unique to the step and group."""
     return f"step {step} envelope job {group}"
 
 
 class TrainerReport:
-    """What the trainer itself saw."""
+    """Counts and measurements taken by the trainer."""
 
     __slots__ = (
         "busy_s",
@@ -64,39 +64,39 @@
 
 
 class TrainerCalls(Protocol):
-    """A trainer's calls to the service; each is repeated until it is answered."""
+    """A trainer's calls to the service; each is retried until it gets a response."""
 
     async def submit(self, submission: StepSubmission) -> None:
         """Submit a step."""
 
     async def poll(self, request: PollRequest) -> PollResponse:
-        """Poll; raises CursorConflict when the cursor is void."""
+        """Poll for deliveries; raises CursorConflict if the cursor is not valid."""
 
     async def publish(self, version: PublishedVersion) -> None:
-        """Publish a version."""
+        """Publish a weight version."""
 
     async def grade(self, grades: GradeSubmission) -> None:
-        """Send grades."""
+        """Submit grades."""
 
     async def aclose(self) -> None:
         """Close the connections."""
 
 
 class StandinTrainer:
-    """A trainer that keeps some steps ahead of itself and trains for ``train_s`` per step.
+    """A trainer that submits steps in advance and trains for ``train_s`` per step.
 
     Args:
-        calls: Reaches the service.
-        model: The model it trains.
-        weights: The weight store it puts versions into.
+        calls: Client of the service.
+        model: Model to train.
+        weights: Weight store to which versions are written.
         clock: Time source.
-        groups: Groups of a step.
-        group_size: Samples of a group.
-        max_tokens: Length limit of a sample.
-        train_s: Time of one training step, in seconds.
-        max_versions: The staleness bound that the trainer checks.
-        steps_ahead: How many steps it submits before it trains on them.
-        prompt: Gives the prompt of a group from the step and the group's number.
+        groups: Prompt groups per step.
+        group_size: Samples per group.
+        max_tokens: Maximum length of a sample.
+        train_s: Duration of one training step, in seconds.
+        max_versions: Staleness bound in versions; older samples are counted as stale.
+        steps_ahead: Number of steps submitted ahead of the current one.
+        prompt: Returns the prompt for a step and a group index.
     """
 
     def __init__(
@@ -128,15 +128,15 @@
         self._steps_ahead = steps_ahead
         self._prompt = prompt
         self._cursor = 0
-        self._received: dict[int, list[Sample]] = {}
+        self._received_samples: dict[int, list[Sample]] = {}
 
     @property
     def samples(self) -> Mapping[int, Sequence[Sample]]:
-        """The samples that were received, by step."""
-        return self._received
+        """The received samples, by step."""
+        return self._received_samples
 
     async def run(self, steps: int) -> None:
-        """Take *steps* training steps."""
+        """Run *steps* training steps."""
         submitted = 0
         for step in range(1, steps + 1):
             while submitted < min(steps, step + self._steps_ahead):
@@ -147,11 +147,11 @@
         await self._calls.aclose()
 
     def checkpoint(self) -> int:
-        """Return the cursor, which a restarted trainer goes on from."""
+        """Return the cursor from which a restarted trainer resumes."""
         return self._cursor
 
     def restart(self, cursor: int) -> None:
-        """Go on from a cursor after losing every connection."""
+        """Resume from a cursor after losing all connections."""
         self._cursor = cursor
 
     async def _submit(self, step: int) -> None:
@@ -167,13 +167,13 @@
 
     async def _train(self, step: int) -> None:
         started_s = self._clock.monotonic_s()
-        wanted = self._groups * self._group_size
-        while len(self._received.get(step, ())) < wanted:
+        expected_samples = self._groups * self._group_size
+        while len(self._received_samples.get(step, ())) < expected_samples:
             await self._poll()
         idle_s = self._clock.monotonic_s() - started_s
         self.report.idle_s += idle_s
         self.report.step_idle_s.append(idle_s)
-        samples = self._received[step]
+        samples = self._received_samples[step]
         ages = [max(0, self.version - sample.oldest_version) for sample in samples]
         self.report.train_staleness_versions += ages
         self.report.stale += sum(age > self._max_versions for age in ages)
@@ -199,11 +199,11 @@
         self._cursor = answer.cursor
         for group in answer.groups:
             for sample in group.samples:
-                self._take(sample)
+                self._record_sample(sample)
         for grade in answer.grades:
-            self._take_grade(grade)
+            self._record_grade(grade)
 
-    def _take(self, sample: Sample) -> None:
+    def _record_sample(self, sample: Sample) -> None:
         self.report.samples[sample.sample_id] += 1
         prompt = self._prompt(sample.step, sample.group)
         seed = sample.step * 1_000_003 + sample.group * 1009 + sample.index
@@ -213,9 +213,9 @@
             staleness = self.version - sample.oldest_version
             self.report.staleness_versions.append(max(0, staleness))
             self.report.stale += staleness > self._max_versions
-        self._received.setdefault(sample.step, []).append(sample)
+        self._received_samples.setdefault(sample.step, []).append(sample)
 
-    def _take_grade(self, grade: DeliveredGrade) -> None:
+    def _record_grade(self, grade: DeliveredGrade) -> None:
         self.report.grades[grade.sample_id] += 1
 
     async def _grade(self, samples: Sequence[Sample]) -> None:
@@ -232,7 +232,7 @@
 
 
 def label_faults(sample: Sample, model: str, prompt: str, seed: int) -> list[str]:
-    """Return what is wrong with a sample's version labels, judged by its tokens."""
+    """Check a sample's version labels against its tokens and return the errors."""
     faults = []
     position = 0
     for span in sample.spans:
@@ -240,7 +240,7 @@
             faults.append(f"span starts at {span.start}, expected {position}")
         for index in range(span.start, min(span.end, len(sample.token_ids))):
             if sample.token_ids[index] != expected_token(model, span.version, prompt, seed, index):
-                faults.append(f"token {index} is not of version {span.version}")
+                faults.append(f"token {index} does not match version {span.version}")
         position = span.end
     if position != len(sample.token_ids):
         faults.append(f"spans end at {position}, the sample at {len(sample.token_ids)}")
--- a/src/verbenawind/standins/trainer_calls.py
+++ b/src/verbenawind/standins/trainer_calls.py
@@ -1,4 +1,4 @@
-"""How a stand-in trainer reaches the service: over HTTP, or daemon cores in the same process."""
+"""Clients for the stand-in trainer: over HTTP and over daemon cores in the same process."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import TypeVar
@@ -28,10 +28,10 @@
 
 
 class HttpTrainerCalls:
-    """Calls daemons over HTTP in turn; implements TrainerCalls.
+    """Calls daemons over HTTP, round-robin; implements TrainerCalls.
 
     Args:
-        base_urls: The daemons' URLs up to the version part.
+        base_urls: Base URLs of the daemons, including the API version.
         token: The trainer's bearer token.
         clock: Time source.
     """
@@ -49,15 +49,15 @@
         await self._post("steps", submission)
 
     async def poll(self, request: PollRequest) -> PollResponse:
-        """Poll; raises CursorConflict when the cursor is void."""
+        """Poll for deliveries; raises CursorConflict if the cursor is not valid."""
         return msgspec.json.decode(await self._post("poll", request), type=PollResponse)
 
     async def publish(self, version: PublishedVersion) -> None:
-        """Publish a version."""
+        """Publish a weight version."""
         await self._post("versions", version)
 
     async def grade(self, grades: GradeSubmission) -> None:
-        """Send grades."""
+        """Submit grades."""
         await self._post("grades", grades)
 
     async def aclose(self) -> None:
@@ -91,13 +91,13 @@
 
 
 class CoreTrainerCalls:
-    """Calls daemon cores in turn; implements TrainerCalls.
+    """Calls daemon cores, round-robin; implements TrainerCalls.
 
     Args:
-        cores: Gives the daemons that are alive.
-        revision: The revision in force.
+        cores: Returns the running daemons.
+        revision: Active revision.
         clock: Time source.
-        trainer: The trainer's place in the document.
+        trainer: Index of the trainer in the document.
     """
 
     def __init__(
@@ -111,43 +111,43 @@
         self._revision = revision
         self._clock = clock
         self._trainer = revision.document.trainers[trainer]
-        self._next = 0
+        self._next_core = 0
 
     async def submit(self, submission: StepSubmission) -> None:
         """Submit a step."""
-        await self._repeat(
+        await self._call_with_retries(
             lambda core: core.rollouts.submit_step(self._revision, self._trainer, submission)
         )
 
     async def poll(self, request: PollRequest) -> PollResponse:
-        """Poll; raises CursorConflict when the cursor is void."""
-        return await self._repeat(
+        """Poll for deliveries; raises CursorConflict if the cursor is not valid."""
+        return await self._call_with_retries(
             lambda core: core.rollouts.poll(self._revision, self._trainer, request)
         )
 
     async def publish(self, version: PublishedVersion) -> None:
-        """Publish a version."""
+        """Publish a weight version."""
         model = self._revision.document.model(version.model)
         assert model is not None
-        await self._repeat(
+        await self._call_with_retries(
             lambda core: core.rollouts.publish_version(self._revision, model, version)
         )
 
     async def grade(self, grades: GradeSubmission) -> None:
-        """Send grades."""
-        await self._repeat(
+        """Submit grades."""
+        await self._call_with_retries(
             lambda core: core.rollouts.submit_grades(self._revision, self._trainer, grades)
         )
 
     async def aclose(self) -> None:
-        """Do nothing; there is no connection."""
+        """Do nothing: there is no connection to close."""
 
-    async def _repeat(self, call: Callable[[Core], Awaitable[T]]) -> T:
+    async def _call_with_retries(self, call: Callable[[Core], Awaitable[T]]) -> T:
         while True:
             cores = self._cores()
-            self._next += 1
+            self._next_core += 1
             try:
-                return await call(cores[self._next % len(cores)])
+                return await call(cores[self._next_core % len(cores)])
             except CursorConflict:
                 raise
             except (StoreUnavailable, LeaseLost):
--- a/src/verbenawind/standins/world.py
+++ b/src/verbenawind/standins/world.py
@@ -98,19 +98,19 @@
             checks_fencing=checks_fencing,
         )
         self.engines[server_id] = engine
-        self._list(server_id, HostRole.ENGINE, pool, zone_index)
+        self._add_to_host_list(server_id, HostRole.ENGINE, pool, zone_index)
         return engine
 
     def add_service(self, server_id: str, service: str, *, zone_index: int = 0) -> StandinService:
         """Add a plain-service host to the host list."""
         self.services[server_id] = StandinService(server_id, self.clock)
-        self._list(server_id, HostRole.SERVICE, service, zone_index)
+        self._add_to_host_list(server_id, HostRole.SERVICE, service, zone_index)
         return self.services[server_id]
 
     def add_scoring(self, server_id: str, service: str, *, zone_index: int = 0) -> StandinScoring:
         """Add a scoring-service host to the host list."""
         self.scoring[server_id] = StandinScoring(server_id, self.clock)
-        self._list(server_id, HostRole.SCORING, service, zone_index)
+        self._add_to_host_list(server_id, HostRole.SCORING, service, zone_index)
         return self.scoring[server_id]
 
     def add_daemon(self, daemon_id: str, *, zone_index: int = 0) -> Core:
@@ -162,7 +162,7 @@
         for engine in self.engines.values():
             await engine.stop()
 
-    def _list(self, host_id: str, role: HostRole, group: str, zone_index: int) -> None:
+    def _add_to_host_list(self, host_id: str, role: HostRole, group: str, zone_index: int) -> None:
         entry = HostEntry(
             host_id=host_id,
             role=role,
--- a/tests/standins/test_demo_summary.py
+++ b/tests/standins/test_demo_summary.py
@@ -1,9 +1,9 @@
-"""Tests of how the demonstration judges itself."""
+"""Tests of the demonstration's check for violated guarantees."""
 
 import msgspec
 import pytest
 
-from verbenawind.standins.demo_summary import DemoSummary, broken_promises
+from verbenawind.standins.demo_summary import DemoSummary, violated_guarantees
 
 GOOD = DemoSummary(
     samples_expected=32,
@@ -25,10 +25,10 @@
 )
 
 
-class TestBrokenPromises:
-    def test_good_run_breaks_none(self) -> None:
-        """A run in which all was delivered once breaks no promise."""
-        assert broken_promises(GOOD) == []
+class TestViolatedGuarantees:
+    def test_good_run_has_no_violation(self) -> None:
+        """A run in which everything was delivered exactly once has no violation."""
+        assert violated_guarantees(GOOD) == []
 
     @pytest.mark.parametrize(
         "field",
@@ -42,7 +42,7 @@
             "non_idempotent_double_runs",
         ],
     )
-    def test_each_break_is_named(self, field: str) -> None:
-        """One sample, grade, answer or run too many or too few is reported by its field."""
+    def test_each_violation_is_named(self, field: str) -> None:
+        """An extra or missing sample, grade, answer or run is reported by its field name."""
         summary = msgspec.structs.replace(GOOD, **{field: getattr(GOOD, field) + 1})
-        assert broken_promises(summary) == [field]
+        assert violated_guarantees(summary) == [field]
--- a/tests/traces/test_replay.py
+++ b/tests/traces/test_replay.py
@@ -12,7 +12,7 @@
 
 class TestReplay:
     @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-    def test_stated_outcome_holds(self, path: Path) -> None:
+    def test_expected_outcome(self, path: Path) -> None:
         """The replay violates no guarantee and produces the expected outcome."""
         result = replay(read_trace(path))
         assert (result.violations, result.differences) == ((), ())
--- a/tests/whole_path/test_step.py
+++ b/tests/whole_path/test_step.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path in one process on virtual time."""
+"""End-to-end tests in one process on virtual time."""
 
 from verbenawind.document import parse_document
 from verbenawind.kernel.rollouts import (
@@ -26,7 +26,7 @@
 
 class TestStep:
     def test_step_is_delivered_whole(self) -> None:
-        """Every sample of a step submitted at one daemon is delivered once at another."""
+        """All samples of a step submitted to one daemon are delivered exactly once by another."""
 
         async def scenario() -> list[Sample]:
             world = World()
