--- a/src/verbenawind/standins/oracle.py
+++ b/src/verbenawind/standins/oracle.py
@@ -198,9 +198,7 @@
         for event in events:
             if isinstance(event, TokensGenerated):
                 if event.start != len(tokens):
-                    self._report_bad_response(
-                        request.request_id, f"skips from token {len(tokens)} to {event.start}"
-                    )
+                    self._report_bad_response(request.request_id, f"skips to token {event.start}")
                 for offset, token in enumerate(event.token_ids):
                     self._check_token(request, event, event.start + offset, token)
                 tokens.extend(event.token_ids)
@@ -416,7 +414,7 @@
         if known != revision.digest:
             self._report_violation(
                 Promise.CONFIGURATION,
-                f"{revision.name} revision {revision.revision} has two digests",
+                f"{revision.name} has two digests for revision {revision.revision}",
             )
 
     def _newest_version(self, model: str, asked_at_s: float, at_s: float) -> int:
--- a/src/verbenawind/standins/parties.py
+++ b/src/verbenawind/standins/parties.py
@@ -265,7 +265,7 @@
         if not done:
             task.cancel()
         if not done or task.cancelled():
-            raise NoResponse(f"{name}: no response from {daemon_id}")
+            raise NoResponse(f"{name} at {daemon_id} got no response")
         return task.result()
 
     def _start(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
