--- a/src/verbenawind/standins/demo.py
+++ b/src/verbenawind/standins/demo.py
@@ -13,10 +13,16 @@
 from absl import flags
 
 from verbenawind.logs import configure_logs
+from verbenawind.standins.demo_deployment import (
+    MAX_VERSIONS,
+    MODEL,
+    TRAINER_TOKEN,
+    DemoDeployment,
+    document,
+)
 from verbenawind.standins.demo_faults import inject_faults
 from verbenawind.standins.demo_load import ApplicationCallers
 from verbenawind.standins.demo_summary import DemoSummary, violated_guarantees
-from verbenawind.standins.demo_world import MAX_VERSIONS, MODEL, TRAINER_TOKEN, DemoWorld, document
 from verbenawind.standins.trainer import StandinTrainer
 from verbenawind.standins.trainer_calls import HttpTrainerCalls
 
@@ -48,17 +54,17 @@
         self._faults = faults
         self._steps = _STEPS_WITH_FAULTS if faults else _STEPS
         self._answers = _ANSWERS_WITH_FAULTS if faults else _ANSWERS
-        self._world = DemoWorld(seed)
+        self._deployment = DemoDeployment(seed)
         self._trainer = StandinTrainer(
-            HttpTrainerCalls(self._world.base_urls, TRAINER_TOKEN, self._world.clock),
+            HttpTrainerCalls(self._deployment.base_urls, TRAINER_TOKEN, self._deployment.clock),
             MODEL,
-            self._world.weights,
-            self._world.clock,
+            self._deployment.weights,
+            self._deployment.clock,
             train_s=_TRAIN_S,
             max_versions=MAX_VERSIONS,
         )
         self._callers = ApplicationCallers(
-            self._world.base_urls,
+            self._deployment.base_urls,
             answers=self._answers,
             bookings=_BOOKINGS,
             period_s=_PERIOD_S,
@@ -67,8 +73,8 @@
 
     async def run(self) -> DemoSummary:
         """Start all processes, run the load and shut down."""
-        await self._world.start()
-        await self._world.apply_document(json.dumps(document()))
+        await self._deployment.start()
+        await self._deployment.apply_document(json.dumps(document()))
         await asyncio.sleep(_SETTLE_S)
         progress = asyncio.get_running_loop().create_task(self._show_progress())
         try:
@@ -76,12 +82,12 @@
                 tasks.create_task(self._trainer.run(self._steps))
                 tasks.create_task(self._callers.run())
                 if self._faults:
-                    tasks.create_task(inject_faults(self._world))
+                    tasks.create_task(inject_faults(self._deployment))
         except TimeoutError:
             print(f"  load did not finish within {_TIMEOUT_S:.0f} s")
         finally:
             progress.cancel()
-        await self._world.stop()
+        await self._deployment.stop()
         return self._summary()
 
     async def _show_progress(self) -> None:
@@ -100,7 +106,7 @@
         report = self._trainer.report
         staleness = sorted(report.staleness_versions) or [0]
         runs: Counter[str] = Counter()
-        for service in self._world.services:
+        for service in self._deployment.services:
             runs.update(service.runs)
         return DemoSummary(
             samples_expected=report.samples_expected,
@@ -117,8 +123,8 @@
             non_idempotent_double_runs=sum(count - 1 for count in runs.values()),
             trainer_idle_ratio=round(report.idle_s / max(1e-9, report.idle_s + report.busy_s), 4),
             staleness_versions_p95=staleness[int(0.95 * (len(staleness) - 1))],
-            cross_region_bytes=self._world.meter.cross_region_bytes,
-            engine_crashes=sum(engine.crashes for engine in self._world.engines),
+            cross_region_bytes=self._deployment.meter.cross_region_bytes,
+            engine_crashes=sum(engine.crashes for engine in self._deployment.engines),
         )
 
 
--- a/src/verbenawind/standins/demo_world.py
+++ b/src/verbenawind/standins/demo_deployment.py
@@ -30,7 +30,7 @@
     "MODEL",
     "SERVICE",
     "TRAINER_TOKEN",
-    "DemoWorld",
+    "DemoDeployment",
     "document",
 ]
 
@@ -75,7 +75,7 @@
     }
 
 
-class DemoWorld:
+class DemoDeployment:
     """The platform, engines, plain service hosts and daemons of the demonstration.
 
     Args:
--- a/src/verbenawind/standins/demo_load.py
+++ b/src/verbenawind/standins/demo_load.py
@@ -8,7 +8,7 @@
 
 from verbenawind.api.errors import ErrorAnswer
 from verbenawind.errors import Outcome
-from verbenawind.standins.demo_world import APPLICATION_TOKEN, MODEL, SERVICE
+from verbenawind.standins.demo_deployment import APPLICATION_TOKEN, MODEL, SERVICE
 from verbenawind.standins.engine import expected_token, natural_length
 
 __all__ = ["ApplicationCallers"]
--- a/src/verbenawind/standins/oracle.py
+++ b/src/verbenawind/standins/oracle.py
@@ -33,7 +33,7 @@
 )
 from verbenawind.standins.engine import expected_token, natural_length
 
-__all__ = ["Oracle", "Promise", "TrainerTerms", "Violation"]
+__all__ = ["Oracle", "Promise", "TrainerBounds", "Violation"]
 
 LEAVING_GRACE_S = 3.0
 CONFIGURATION_GRACE_S = 5.0
@@ -62,7 +62,7 @@
     what: str
 
 
-class TrainerTerms(msgspec.Struct, frozen=True, kw_only=True):
+class TrainerBounds(msgspec.Struct, frozen=True, kw_only=True):
     """A trainer's model and its staleness bound in versions."""
 
     model: str
@@ -72,10 +72,10 @@
 class _TrainerRecord:
     """The requests and responses of one trainer."""
 
-    __slots__ = ("accepted", "answers", "contents", "grades", "staleness", "submitted", "terms")
+    __slots__ = ("accepted", "answers", "bounds", "contents", "grades", "staleness", "submitted")
 
-    def __init__(self, terms: TrainerTerms) -> None:
-        self.terms = terms
+    def __init__(self, bounds: TrainerBounds) -> None:
+        self.bounds = bounds
         self.submitted: dict[int, list[StepSubmission]] = defaultdict(list)
         self.accepted: dict[int, StepSubmission] = {}
         self.answers: list[tuple[int, PollResponse]] = []
@@ -121,15 +121,15 @@
         for interval in self._disturbances:
             interval[1] = min(interval[1], at_s)
 
-    def disturbed(self, start_s: float, end_s: float) -> bool:
+    def overlaps_disturbance(self, start_s: float, end_s: float) -> bool:
         """Return whether a disturbance overlaps the interval."""
         return any(first <= end_s and start_s <= last for first, last in self._disturbances)
 
     # Trainers.
 
-    def register_trainer(self, name: str, terms: TrainerTerms) -> None:
-        """Register a trainer or update its terms."""
-        self._trainers.setdefault(name, _TrainerRecord(terms)).terms = terms
+    def register_trainer(self, name: str, bounds: TrainerBounds) -> None:
+        """Register a trainer or update its bounds."""
+        self._trainers.setdefault(name, _TrainerRecord(bounds)).bounds = bounds
 
     def step_submitted(self, trainer: str, submission: StepSubmission) -> None:
         """Record that a trainer sent a step, regardless of the response."""
@@ -161,7 +161,7 @@
             (cursor, kept) for cursor, kept in state.answers if kept.cursor <= request.cursor
         ]
         newest = max(
-            request.current_version, self._newest_version(state.terms.model, asked_at_s, at_s)
+            request.current_version, self._newest_version(state.bounds.model, asked_at_s, at_s)
         )
         for group in answer.groups:
             self._check_group(state, group, newest)
@@ -284,7 +284,7 @@
             is_overdue = accepted_at_s + CONFIGURATION_GRACE_S < at_s
             if not is_overdue or environment != name or number >= revision:
                 continue
-            if not self.disturbed(accepted_at_s, at_s):
+            if not self.overlaps_disturbance(accepted_at_s, at_s):
                 self._report_violation(
                     Promise.CONFIGURATION,
                     f"{daemon} is at revision {number}, but {revision} was accepted "
@@ -334,7 +334,7 @@
                 )
             age = newest - sample.oldest_version if sample.spans else 0
             state.staleness.append(max(0, age))
-            if age > state.terms.max_versions:
+            if age > state.bounds.max_versions:
                 self._report_violation(
                     Promise.STALENESS,
                     f"{sample.sample_id} is {age} versions behind version {newest}",
@@ -350,8 +350,8 @@
             if sample.group >= len(submission.groups):
                 continue
             prompt = submission.groups[sample.group].prompt
-            for seed in self._started_seeds[(state.terms.model, prompt)]:
-                if self._matches_seed(state.terms.model, prompt, seed, sample):
+            for seed in self._started_seeds[(state.bounds.model, prompt)]:
+                if self._matches_seed(state.bounds.model, prompt, seed, sample):
                     expected_length = min(
                         submission.sampling.max_tokens, natural_length(prompt, seed)
                     )
@@ -401,7 +401,7 @@
         since_s = self._leaving_since_s.get(server_id)
         if since_s is None or at_s <= since_s + LEAVING_GRACE_S:
             return
-        if not self.disturbed(since_s, at_s):
+        if not self.overlaps_disturbance(since_s, at_s):
             self._report_violation(
                 Promise.LEAVING,
                 f"{server_id} received {request_id} {at_s - since_s:.1f} s after starting to leave",
@@ -418,7 +418,9 @@
             )
 
     def _newest_version(self, model: str, asked_at_s: float, at_s: float) -> int:
-        horizon_s = asked_at_s if self.disturbed(asked_at_s, at_s) else at_s - VERSION_GRACE_S
+        horizon_s = (
+            asked_at_s if self.overlaps_disturbance(asked_at_s, at_s) else at_s - VERSION_GRACE_S
+        )
         known = [
             version
             for since_s, version in self._versions[model]
--- a/src/verbenawind/standins/playground.py
+++ b/src/verbenawind/standins/playground.py
@@ -90,8 +90,8 @@
                 await self._add(name, HostRole.SERVICE, service.name, service_app(host))
         for scoring in document.scoring_services:
             name = f"{scoring.name}-0"
-            judge = StandinScoring(name, self._clock)
-            await self._add(name, HostRole.SCORING, scoring.name, scoring_app(judge))
+            scoring_host = StandinScoring(name, self._clock)
+            await self._add(name, HostRole.SCORING, scoring.name, scoring_app(scoring_host))
 
     async def _add(self, name: str, role: HostRole, group: str, app: Litestar) -> None:
         address = await self._serve(app, 0)
--- a/src/verbenawind/standins/scene.py
+++ b/src/verbenawind/standins/scene.py
@@ -9,8 +9,8 @@
 from verbenawind import ids
 from verbenawind.document import EnvironmentDocument, Stage
 from verbenawind.standins.network import PLATFORM
-from verbenawind.standins.oracle import TrainerTerms
-from verbenawind.standins.parties import Parties
+from verbenawind.standins.oracle import TrainerBounds
+from verbenawind.standins.simulated_clients import SimulatedClients
 from verbenawind.standins.world import World
 
 __all__ = ["Scene", "with_weights"]
@@ -19,7 +19,7 @@
 _RETRY_S = 0.3
 
 
-class Scene(Parties):
+class Scene(SimulatedClients):
     """A simulated deployment with its clients; create it inside a running event loop.
 
     Args:
@@ -51,8 +51,8 @@
         for spec in self.document.trainers:
             model = self.document.model(spec.model)
             assert model is not None
-            terms = TrainerTerms(model=spec.model, max_versions=model.staleness.max_versions)
-            self.oracle.register_trainer(spec.name, terms)
+            bounds = TrainerBounds(model=spec.model, max_versions=model.staleness.max_versions)
+            self.oracle.register_trainer(spec.name, bounds)
         await self.clock.sleep(2.0)
 
     # Daemons.
--- a/src/verbenawind/standins/parties.py
+++ b/src/verbenawind/standins/simulated_clients.py
@@ -31,7 +31,7 @@
 from verbenawind.standins.services import expected_grade
 from verbenawind.standins.world import World
 
-__all__ = ["NoResponse", "Parties", "TrainerState"]
+__all__ = ["NoResponse", "SimulatedClients", "TrainerState"]
 
 T = TypeVar("T")
 
@@ -56,7 +56,7 @@
         self.graded: set[str] = set()
 
 
-class Parties:
+class SimulatedClients:
     """Makes calls to daemons as external clients do and reports the results to the oracle.
 
     Args:
