--- a/src/verbenawind/traces/faults.py
+++ b/src/verbenawind/traces/faults.py
@@ -1,4 +1,4 @@
-"""Injects a trace's faults into a scene, with one registered handler per fault kind."""
+"""Injects a trace's faults into a simulated deployment; each fault kind has a handler."""
 
 import asyncio
 from collections.abc import Callable
--- a/tests/traces/test_recorder.py
+++ b/tests/traces/test_recorder.py
@@ -19,12 +19,12 @@
         path = tmp_path / "live.jsonl"
 
         async def serve() -> None:
-            made = scene(1)
-            await made.start()
-            core = made.world.daemons["daemon-0"]
+            simulation = scene(1)
+            await simulation.start()
+            core = simulation.world.daemons["daemon-0"]
             recording = LiveRecording(
                 str(path),
-                made.clock,
+                simulation.clock,
                 fleet=core.fleet,
                 peers=core.peers,
                 configuration=core.configuration,
@@ -33,11 +33,11 @@
                 rollouts=core.rollouts,
             )
             recording.begin()
-            recorder, spec = recording.recorder, made.trainers["folders"].spec
-            await recorder.submit_step(made.revision, spec, step_of("folders", 1))
+            recorder, spec = recording.recorder, simulation.trainers["folders"].spec
+            await recorder.submit_step(simulation.revision, spec, step_of("folders", 1))
             request = GenerateRequest(
                 request_id="r",
-                environment=made.revision.name,
+                environment=simulation.revision.name,
                 caller="desk",
                 kind=WorkKind.APPLICATION,
                 model="tuner",
@@ -45,11 +45,11 @@
                 prompt="a secret die",
                 max_tokens=20,
                 seed=1,
-                deadline_s=made.clock.monotonic_s() + 20.0,
+                deadline_s=simulation.clock.monotonic_s() + 20.0,
             )
             assert [event async for event in recorder.generate(request)]
             recording.close()
-            await made.stop()
+            await simulation.stop()
 
         run_virtual(serve())
         trace = read_trace(path)
--- a/tests/whole_path/test_step.py
+++ b/tests/whole_path/test_step.py
@@ -25,7 +25,7 @@
 
 
 class TestStep:
-    def test_step_is_delivered_whole(self) -> None:
+    def test_step_is_delivered_completely(self) -> None:
         """All samples of a step submitted to one daemon are delivered exactly once by another."""
 
         async def scenario() -> list[Sample]:
