--- a/src/verbenawind/standins/demo.py
+++ b/src/verbenawind/standins/demo.py
@@ -1,6 +1,6 @@
-"""The demonstration: a trainer and application callers before three daemons, on loopback.
+"""The demonstration: a trainer and application callers using three daemons on loopback.
 
-All counts come from what the trainer, the callers and the backend servers saw.
+All reported counts are taken by the trainer, the callers and the backend servers.
 """
 
 import asyncio
@@ -13,10 +13,16 @@
 from absl import flags
 
 from verbenawind.logs import configure_logs
+from verbenawind.standins.demo_deployment import (
+    MAX_VERSIONS,
+    MODEL,
+    TRAINER_TOKEN,
+    DemoDeployment,
+    document,
+)
 from verbenawind.standins.demo_faults import inject_faults
 from verbenawind.standins.demo_load import ApplicationCallers
-from verbenawind.standins.demo_summary import DemoSummary, broken_promises
-from verbenawind.standins.demo_world import MAX_VERSIONS, MODEL, TRAINER_TOKEN, DemoWorld, document
+from verbenawind.standins.demo_summary import DemoSummary, violated_guarantees
 from verbenawind.standins.trainer import StandinTrainer
 from verbenawind.standins.trainer_calls import HttpTrainerCalls
 
@@ -37,7 +43,7 @@
 
 
 class _Demo:
-    """One run.
+    """One run of the demonstration.
 
     Args:
         seed: Seed of the stand-ins' randomness.
@@ -48,17 +54,17 @@
         self._faults = faults
         self._steps = _STEPS_WITH_FAULTS if faults else _STEPS
         self._answers = _ANSWERS_WITH_FAULTS if faults else _ANSWERS
-        self._world = DemoWorld(seed)
+        self._deployment = DemoDeployment(seed)
         self._trainer = StandinTrainer(
-            HttpTrainerCalls(self._world.base_urls, TRAINER_TOKEN, self._world.clock),
+            HttpTrainerCalls(self._deployment.base_urls, TRAINER_TOKEN, self._deployment.clock),
             MODEL,
-            self._world.weights,
-            self._world.clock,
+            self._deployment.weights,
+            self._deployment.clock,
             train_s=_TRAIN_S,
             max_versions=MAX_VERSIONS,
         )
         self._callers = ApplicationCallers(
-            self._world.base_urls,
+            self._deployment.base_urls,
             answers=self._answers,
             bookings=_BOOKINGS,
             period_s=_PERIOD_S,
@@ -66,9 +72,9 @@
         )
 
     async def run(self) -> DemoSummary:
-        """Start everything, let the load run, and shut everything down."""
-        await self._world.start()
-        await self._world.apply_document(json.dumps(document()))
+        """Start all processes, run the load and shut down."""
+        await self._deployment.start()
+        await self._deployment.apply_document(json.dumps(document()))
         await asyncio.sleep(_SETTLE_S)
         progress = asyncio.get_running_loop().create_task(self._show_progress())
         try:
@@ -76,12 +82,12 @@
                 tasks.create_task(self._trainer.run(self._steps))
                 tasks.create_task(self._callers.run())
                 if self._faults:
-                    tasks.create_task(inject_faults(self._world))
+                    tasks.create_task(inject_faults(self._deployment))
         except TimeoutError:
-            print(f"  the load did not end within {_TIMEOUT_S:.0f} s")
+            print(f"  load did not finish within {_TIMEOUT_S:.0f} s")
         finally:
             progress.cancel()
-        await self._world.stop()
+        await self._deployment.stop()
         return self._summary()
 
     async def _show_progress(self) -> None:
@@ -90,7 +96,7 @@
             print(
                 f"  version {self._trainer.version}: {sum(report.samples.values())} samples, "
                 f"{sum(report.grades.values())} grades, "
-                f"{self._callers.answers_whole} whole answers, "
+                f"{self._callers.answers_whole} complete answers, "
                 f"{self._callers.bookings_confirmed} bookings",
                 flush=True,
             )
@@ -100,7 +106,7 @@
         report = self._trainer.report
         staleness = sorted(report.staleness_versions) or [0]
         runs: Counter[str] = Counter()
-        for service in self._world.services:
+        for service in self._deployment.services:
             runs.update(service.runs)
         return DemoSummary(
             samples_expected=report.samples_expected,
@@ -117,21 +123,21 @@
             non_idempotent_double_runs=sum(count - 1 for count in runs.values()),
             trainer_idle_ratio=round(report.idle_s / max(1e-9, report.idle_s + report.busy_s), 4),
             staleness_versions_p95=staleness[int(0.95 * (len(staleness) - 1))],
-            cross_region_bytes=self._world.meter.cross_region_bytes,
-            engine_crashes=sum(engine.crashes for engine in self._world.engines),
+            cross_region_bytes=self._deployment.meter.cross_region_bytes,
+            engine_crashes=sum(engine.crashes for engine in self._deployment.engines),
         )
 
 
 def main(_: list[str]) -> None:
-    """Run the demonstration; exit with 1 when a promise broke."""
+    """Run the demonstration; exit with status 1 if a guarantee was violated."""
     configure_logs("critical")
     summary = asyncio.run(_Demo(_SEED.value, _FAULTS.value).run())
     for name in summary.__struct_fields__:
         print(f"  {name.replace('_', ' '):30} {getattr(summary, name)}")
-    broken = broken_promises(summary)
-    print(f"broken promises: {', '.join(broken) or 'none'}")
+    violated = violated_guarantees(summary)
+    print(f"violated guarantees: {', '.join(violated) or 'none'}")
     print(msgspec.json.encode(summary).decode())
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violated else 0)
 
 
 if __name__ == "__main__":
--- a/tests/traces/test_recorder.py
+++ b/tests/traces/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of recording live work and reading it back."""
+"""Tests of recording a daemon's calls and reading the trace back."""
 
 from pathlib import Path
 
@@ -10,21 +10,21 @@
 from verbenawind.standins.world import run_virtual
 from verbenawind.traces import LiveRecording, read_trace
 from verbenawind.traces.replay import replay
-from verbenawind.traces.types import Ask, Step
+from verbenawind.traces.types import GenerationRequested, StepSubmitted
 
 
 class TestRecorder:
     def test_recorded_work_replays(self, tmp_path: Path) -> None:
-        """A step and a request that a daemon served are recorded without text and replay whole."""
+        """A recorded step and generation contain no prompt text and replay completely."""
         path = tmp_path / "live.jsonl"
 
         async def serve() -> None:
-            made = scene(1)
-            await made.start()
-            core = made.world.daemons["daemon-0"]
+            simulation = scene(1)
+            await simulation.start()
+            core = simulation.world.daemons["daemon-0"]
             recording = LiveRecording(
                 str(path),
-                made.clock,
+                simulation.clock,
                 fleet=core.fleet,
                 peers=core.peers,
                 configuration=core.configuration,
@@ -33,11 +33,11 @@
                 rollouts=core.rollouts,
             )
             recording.begin()
-            recorder, spec = recording.recorder, made.trainers["folders"].spec
-            await recorder.submit_step(made.revision, spec, step_of("folders", 1))
+            recorder, spec = recording.recorder, simulation.trainers["folders"].spec
+            await recorder.submit_step(simulation.revision, spec, step_of("folders", 1))
             request = GenerateRequest(
                 request_id="r",
-                environment=made.revision.name,
+                environment=simulation.revision.name,
                 caller="desk",
                 kind=WorkKind.APPLICATION,
                 model="tuner",
@@ -45,21 +45,21 @@
                 prompt="a secret die",
                 max_tokens=20,
                 seed=1,
-                deadline_s=made.clock.monotonic_s() + 20.0,
+                deadline_s=simulation.clock.monotonic_s() + 20.0,
             )
             assert [event async for event in recorder.generate(request)]
             recording.close()
-            await made.stop()
+            await simulation.stop()
 
         run_virtual(serve())
         trace = read_trace(path)
-        assert [type(event) for event in trace.events[-2:]] == [Step, Ask]
+        assert [type(event) for event in trace.events[-2:]] == [StepSubmitted, GenerationRequested]
         assert b"secret" not in path.read_bytes()
-        shown = replay(trace)
-        assert (shown.whole_steps, shown.answered, shown.violations) == ({"folders": 1}, 1, ())
+        result = replay(trace)
+        assert (result.whole_steps, result.answered, result.violations) == ({"folders": 1}, 1, ())
 
     def test_malformed_line_is_named(self, tmp_path: Path) -> None:
-        """A line that is no event is refused with its number."""
+        """A line that is not a known event is rejected with its line number."""
         path = tmp_path / "bad.jsonl"
         path.write_text('{"event": "nothing"}\n')
         with pytest.raises(InvalidRequest, match=r"bad\.jsonl, line 1"):
