--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, with signals and links that the soak may spoil."""
+"""Daemon processes that the soak signals, and whose store connection it disrupts."""
 
 import asyncio
 import os
@@ -31,78 +31,78 @@
 """
 
 
-def _free_ports(count: int) -> int:
-    """Return the first of some free ports in a row, in a part of this process's own."""
-    begin = _FIRST_PORT + os.getpid() % _PARTS * _PART_PORTS
-    for first in range(begin, begin + _PART_PORTS, count):
+def _reserve_ports(count: int) -> int:
+    """Reserve *count* consecutive free ports in this process's range and return the first."""
+    begin = _FIRST_PORT + os.getpid() % _RANGE_COUNT * _RANGE_SIZE
+    for first in range(begin, begin + _RANGE_SIZE, count):
         try:
             for port in range(first, first + count):
                 with socket.socket() as probe:
                     probe.bind(("127.0.0.1", port))
         except OSError:
             continue
-        if first not in _TAKEN:
-            _TAKEN.add(first)
+        if first not in _RESERVED:
+            _RESERVED.add(first)
             return first
-    raise OSError("no free ports in a row")
+    raise OSError("no consecutive free ports in this process's range")
 
 
-_TAKEN: set[int] = set()
-# Runs beside each other take their ports from different parts.
+_RESERVED: set[int] = set()
+# Concurrent soaks take ports from separate ranges, selected by process ID, to avoid collisions.
 _FIRST_PORT = 20_000
-_PART_PORTS = 60
-_PARTS = 200
+_RANGE_SIZE = 60
+_RANGE_COUNT = 200
 
 
 class SoakHost:
-    """One daemon.
+    """One daemon, run as a child process behind a proxy to the store.
 
     Args:
-        name: The host's name.
-        zone: Its availability zone.
-        store: The store's own address; the daemon reaches it over a proxy.
-        directory: Where settings and logs go.
+        name: Host name.
+        zone: Availability zone of the host.
+        store: Address of the store; the daemon connects to it through a proxy.
+        directory: Directory for settings and logs.
     """
 
     def __init__(self, name: str, zone: str, store: str, directory: Path) -> None:
-        first = _free_ports(4)
+        first = _reserve_ports(4)
         self.name = name
-        self.front = f"127.0.0.1:{first}"
-        self.ready = f"127.0.0.1:{first + 1}"
+        self.callers_address = f"127.0.0.1:{first}"
+        self.ready_address = f"127.0.0.1:{first + 1}"
         self._peer_port = first + 2
         self._zone = zone
         self._settings = directory / f"{name}.toml"
         self._log = directory / f"{name}.log"
-        self.link = FaultyProxy(store)
+        self.store_link = FaultyProxy(store)
         self.process: asyncio.subprocess.Process | None = None
-        self.stopped = False
+        self.paused = False
         self._log_offset = 0
-        # Two faults at once may both end by starting the host.
-        self._starting = asyncio.Lock()
+        # Two concurrent faults may both end by starting the host.
+        self._start_lock = asyncio.Lock()
 
     @property
-    def runs(self) -> bool:
-        """Whether a process of this host is there and not frozen."""
-        return self.process is not None and self.process.returncode is None and not self.stopped
+    def is_running(self) -> bool:
+        """Whether the daemon's process exists and is not paused by SIGSTOP."""
+        return self.process is not None and self.process.returncode is None and not self.paused
 
     async def start(self) -> None:
-        """Start the daemon's process, unless one is there."""
-        async with self._starting:
+        """Start the daemon's process unless it is already running."""
+        async with self._start_lock:
             if self.process is None or self.process.returncode is not None:
                 await self._start()
 
     async def _start(self) -> None:
-        if not self.link.address:
-            await self.link.start()
+        if not self.store_link.address:
+            await self.store_link.start()
             self._settings.write_text(
                 _SETTINGS.format(
                     name=self.name,
                     zone=self._zone,
                     port=self._peer_port,
                     next_port=self._peer_port + 1,
-                    front=self.front,
-                    ready=self.ready,
-                    store=self.link.address,
+                    front=self.callers_address,
+                    ready=self.ready_address,
+                    store=self.store_link.address,
                 )
             )
         environment = {
@@ -112,7 +112,7 @@
         }
         with self._log.open("ab") as log:
             self._log_offset = log.tell()
-            self.stopped = False
+            self.paused = False
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -122,23 +122,23 @@
                 stderr=log,
             )
 
-    def has_begun(self) -> bool:
-        """Return whether the present process has said that it serves."""
+    def has_started(self) -> bool:
+        """Return whether the current process has logged that it started."""
         with self._log.open("rb") as log:
             log.seek(self._log_offset)
             return b'"event": "started"' in log.read()
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process that this host started."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the daemon's process, if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
             if number is signal.SIGSTOP:
-                self.stopped = True
+                self.paused = True
             if number is signal.SIGCONT:
-                self.stopped = False
+                self.paused = False
 
-    async def ended(self, timeout_s: float) -> int | None:
-        """Wait for the process to end and return its code, None when it is still there."""
+    async def wait_for_exit(self, timeout_s: float) -> int | None:
+        """Wait for the process to exit and return its exit code, None after *timeout_s*."""
         assert self.process is not None
         try:
             async with asyncio.timeout(timeout_s):
@@ -147,10 +147,10 @@
             return None
 
     async def stop(self) -> None:
-        """Kill the process and close the link."""
-        async with self._starting:
+        """Kill the process and stop the proxy to the store."""
+        async with self._start_lock:
             if self.process is not None and self.process.returncode is None:
-                self.send(signal.SIGCONT)
+                self.send_signal(signal.SIGCONT)
                 self.process.kill()
                 await self.process.wait()
-        await self.link.stop()
+        await self.store_link.stop()
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts one way or silences what passes."""
+"""A TCP proxy on loopback that delays, resets, drops or refuses traffic on request."""
 
 import asyncio
 import contextlib
@@ -7,26 +7,26 @@
 __all__ = ["FaultyProxy", "LinkFault"]
 
 _CHUNK_BYTES = 64 * 1024
-_SLOW_S = 0.3
+_DELAY_S = 0.3
 
 
 class LinkFault(StrEnum):
-    """What a link does to its connections."""
+    """The fault that a proxy applies to its connections."""
 
     NONE = "none"
     SLOW = "slow"
     REFUSE = "refuse"
-    # Bytes are taken and never passed on; both ends see an open connection.
+    # Bytes are read and discarded in both directions; both ends see an open connection.
     SILENT = "silent"
-    # Requests pass, answers don't.
+    # Requests are forwarded, responses are discarded.
     ONE_WAY = "one_way"
 
 
 class FaultyProxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address, subject to ``fault``.
 
     Args:
-        target: ``IP:port`` that connections are passed on to.
+        target: ``IP:port`` of the server behind the proxy.
     """
 
     def __init__(self, target: str) -> None:
@@ -38,7 +38,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port and set ``address``."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
@@ -62,28 +62,30 @@
             return
         host, _, port = self._target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        there = asyncio.ensure_future(self._copy(reader, far_writer, answers=False))
-        back = asyncio.ensure_future(self._copy(far_reader, writer, answers=True))
-        self._tasks |= {there, back}
-        await asyncio.wait({there, back})
-        self._tasks -= {there, back}
-        for end in (writer, far_writer):
-            self._writers.discard(end)
-            end.transport.abort()
+        self._writers |= {writer, target_writer}
+        upstream = asyncio.ensure_future(self._copy(reader, target_writer, is_response=False))
+        downstream = asyncio.ensure_future(self._copy(target_reader, writer, is_response=True))
+        self._tasks |= {upstream, downstream}
+        await asyncio.wait({upstream, downstream})
+        self._tasks -= {upstream, downstream}
+        for closing in (writer, target_writer):
+            self._writers.discard(closing)
+            closing.transport.abort()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, answers: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, is_response: bool
     ) -> None:
         with contextlib.suppress(OSError, asyncio.CancelledError):
             while data := await reader.read(_CHUNK_BYTES):
                 if self.fault is LinkFault.SLOW:
-                    await asyncio.sleep(_SLOW_S)
-                if self.fault is LinkFault.SILENT or (self.fault is LinkFault.ONE_WAY and answers):
+                    await asyncio.sleep(_DELAY_S)
+                if self.fault is LinkFault.SILENT or (
+                    self.fault is LinkFault.ONE_WAY and is_response
+                ):
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the fault soak, and the seeds that ever failed."""
+"""Short seeded runs of the fault soak, including seeds that failed before."""
 
 import asyncio
 from pathlib import Path
@@ -7,18 +7,18 @@
 
 from soak.run import Soak
 
-# Seeds that found a fault once, with a line on its cause.
+# Seeds that failed once, with the cause.
 REGRESSIONS: dict[int, str] = {
-    28: "SIGTERM met a process that still loaded its modules: no fault, the check was too wide",
-    208: "a daemon that two faults had started twice outlived its soak and met the next store",
-    242: "as 208: an incarnation of h0 that this soak had not started swept the results",
+    28: "SIGTERM reached a process still importing its modules: no fault, the check was too strict",
+    208: "two faults started a daemon twice; one process outlived its soak and used the next store",
+    242: "as 208: a process of h0 that another soak had started deleted the results",
 }
 
 
 class TestSoak:
     @pytest.mark.parametrize("seed", [1, *REGRESSIONS])
     def test_promises_hold_under_faults(self, seed: int, tmp_path: Path) -> None:
-        """Three daemons under kills, freezes, cuts and outages keep what they promise."""
+        """Three daemons violate no promise under kills, pauses, lost connections and outages."""
         soak = Soak(seed, 3, 2, tmp_path)
         asyncio.run(soak.run(6.0))
-        assert not soak.broken, soak.summary()
+        assert not soak.violations, soak.summary()
