--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -1,4 +1,8 @@
-"""The state machine that drives several daemons, their outside parties and their faults."""
+"""State machines of daemons with their trainers, callers, operators and injected faults.
+
+The derandomized examples of CI depend on the source of the machine class that runs, apart from
+comments, and on the names of its rules. Editing a subclass of FaultMachine draws other examples.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -17,11 +21,11 @@
 TRAINER_NAMES = st.sampled_from(TRAINERS)
 DURATIONS_S = st.sampled_from([0.1, 0.7, 3.0, 9.0])
 MAX_STEPS = 4
-SETTLE_S = 25.0
+SETTLE_TIME_S = 25.0
 
 
 class FaultMachine(RuleBasedStateMachine):
-    """Starts daemons, spoils everything around them, and judges after each rule."""
+    """Starts daemons, injects faults, and checks the promises after each rule."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,14 +56,14 @@
 
     @rule(engine=ENGINE_INDEXES)
     def restart_engine(self, engine: int) -> None:
-        """A crashed engine comes back with its first weights."""
+        """A crashed engine restarts with its initial weights."""
         crashed = self.scene.world.engines[f"engine-{engine}"]
         if crashed.down:
             self._do(crashed.restart)
 
     @rule(engine=ENGINE_INDEXES, ends=st.booleans())
     def spoil_engine(self, engine: int, ends: bool) -> None:
-        """An engine's next swap fails halfway, or its streams lose their end marks for a while."""
+        """An engine's next swap fails midway, or its streams omit their end marker for a second."""
         faults = self.scene.world.engines[f"engine-{engine}"].faults
         if not ends:
             faults.fail_next_swaps = 1
@@ -70,18 +74,18 @@
 
     @rule(engine=ENGINE_INDEXES)
     def delay_version_report(self, engine: int) -> None:
-        """An engine's status names its old version for some seconds after each swap."""
+        """An engine's status reports the previous version for three seconds after each swap."""
         self.scene.world.engines[f"engine-{engine}"].faults.version_report_lag_s = 3.0
 
     @rule(engine=ENGINE_INDEXES)
     def leave(self, engine: int) -> None:
-        """The platform lists one engine as leaving; the first one always stays."""
+        """The platform lists an engine as leaving; engine 0 always stays."""
         if engine > 0:
             self._do(lambda: self.scene.leave(f"engine-{engine}"), 0.5)
 
     @rule(host=st.integers(0, SERVICES - 1), answers=st.booleans())
     def spoil_service(self, host: int, answers: bool) -> None:
-        """A service host drops its next answer after the effect, or refuses connections."""
+        """A service host loses its next response after the effect, or toggles its reachability."""
         service = self.scene.world.services[f"stock-{host}"]
         if answers:
             service.lose_next_answers = 1
@@ -90,7 +94,7 @@
 
     @rule(index=DAEMONS, pause=st.booleans())
     def lose_daemon(self, index: int, pause: bool) -> None:
-        """A daemon dies, or stands still."""
+        """A daemon is killed or paused."""
         if pause and self.scene.running(index):
             self._do(lambda: self.scene.pause(index))
         else:
@@ -98,7 +102,7 @@
 
     @rule(index=DAEMONS)
     def resume_daemon(self, index: int) -> None:
-        """A daemon starts again or goes on."""
+        """A killed daemon restarts, a paused one resumes."""
 
         async def resume() -> None:
             await asyncio.wait_for(self.scene.start_daemon(index), 60.0)
@@ -115,7 +119,7 @@
 
     @rule(graceful=st.booleans())
     def restart_all(self, graceful: bool) -> None:
-        """Every daemon is replaced at once."""
+        """All daemons restart at once, after a graceful shutdown or without."""
 
         async def restart() -> None:
             for index in range(3):
@@ -130,7 +134,7 @@
 
     @rule(rate=st.sampled_from([0.0, 0.1, 0.5]))
     def lose_messages(self, rate: float) -> None:
-        """Links between daemons lose a share of their messages."""
+        """Links between daemons drop a fraction of their messages."""
 
         def change() -> None:
             self.scene.oracle.disturb(self.scene.clock.monotonic_s())
@@ -140,21 +144,21 @@
 
     @rule(zone=DAEMONS, platform=st.booleans(), both_ways=st.booleans())
     def cut(self, zone: int, platform: bool, both_ways: bool) -> None:
-        """A zone is cut off from the platform or from the other zones."""
+        """A zone loses its connection to the platform or to the other zones."""
         self._do(lambda: self.scene.cut(zone, platform=platform, both_ways=both_ways), 0.3)
 
     @rule()
     def heal_network(self) -> None:
-        """The network is whole again."""
+        """All network faults end."""
         self._do(self.scene.world.network.heal)
 
-    @rule(fault=st.sampled_from(["down", "slow", "lossy", "whole"]))
+    @rule(fault=st.sampled_from(["down", "slow", "lossy", "healthy"]))
     def change_store(self, fault: str) -> None:
-        """The platform's stores go down, become slow, lose answers, or recover."""
+        """The platform's stores become unavailable or slow, lose responses, or recover."""
         world = self.scene.world
 
         def change() -> None:
-            if fault != "whole":
+            if fault != "healthy":
                 self.scene.oracle.disturb(world.clock.monotonic_s())
             for store in (world.table, world.objects):
                 store.faults.down = fault == "down"
@@ -169,7 +173,7 @@
         self._advance(duration_s)
 
     def teardown(self) -> None:
-        """Take every fault away; all accepted work must become whole."""
+        """End every fault; all accepted work must then complete."""
         try:
             if hasattr(self, "scene"):
                 self._run(self._finish())
@@ -178,7 +182,7 @@
 
     async def _finish(self) -> None:
         await self.scene.heal()
-        await self.scene.clock.sleep(SETTLE_S)
+        await self.scene.clock.sleep(SETTLE_TIME_S)
         self.scene.calm()
         await self.scene.quiet()
         try:
--- a/tests/fuzz/scenes.py
+++ b/tests/fuzz/scenes.py
@@ -1,4 +1,4 @@
-"""The environment that the fuzzing and the mutation checks drive."""
+"""The scene and the steps of the fuzzing and of the mutation tests."""
 
 from verbenawind.document import parse_document
 from verbenawind.kernel.rollouts import PromptGroup, Sampling, StepSubmission
@@ -33,10 +33,10 @@
 
 
 def scene(seed: int) -> Scene:
-    """Return a scene of three zones, four engines and two service hosts, not started yet."""
-    made = Scene(seed, DOCUMENT)
+    """Return an unstarted scene of three zones, four engines and two service hosts."""
+    unstarted = Scene(seed, DOCUMENT)
     for index in range(ENGINES):
-        made.world.add_engine(
+        unstarted.world.add_engine(
             f"engine-{index}",
             "tuning",
             {"tuner": 0, "drafter": 0},
@@ -44,12 +44,12 @@
             checks_fencing=index % 2 == 0,
         )
     for index in range(SERVICES):
-        made.world.add_service(f"stock-{index}", "stock", zone_index=index)
-    return made
+        unstarted.world.add_service(f"stock-{index}", "stock", zone_index=index)
+    return unstarted
 
 
 def step_of(trainer: str, step: int, groups: int = 2, size: int = 2) -> StepSubmission:
-    """Return a small step, always the same for the same arguments."""
+    """Return a small step that depends only on the arguments."""
     return StepSubmission(
         step=step,
         groups=tuple(
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -1,4 +1,4 @@
-"""Short forms of the failures that fuzzing found."""
+"""Regression tests reduced from failures that fuzzing found."""
 
 from fuzz.scenes import DOCUMENT, scene, step_of
 from verbenawind.standins.engine import CRASH_MARK
@@ -6,34 +6,34 @@
 from verbenawind.standins.world import run_virtual
 
 
-class TestFound:
-    def test_step_goes_on_after_a_document_change(self) -> None:
-        """A step that is submitted after a change of the document becomes whole."""
+class TestRegressions:
+    def test_step_completes_after_a_document_change(self) -> None:
+        """A step submitted after a document change completes."""
 
         async def scenario() -> None:
-            made = scene(1)
-            await made.start()
-            assert await made.accept(1, with_weights(DOCUMENT, 2.0))
-            await made.clock.sleep(5.0)
-            assert await made.submit(2, "folders", step_of("folders", 1))
-            await made.quiet(60.0)
-            made.check()
-            await made.stop()
+            running_scene = scene(1)
+            await running_scene.start()
+            assert await running_scene.accept(1, with_weights(DOCUMENT, 2.0))
+            await running_scene.clock.sleep(5.0)
+            assert await running_scene.submit(2, "folders", step_of("folders", 1))
+            await running_scene.quiet(60.0)
+            running_scene.check()
+            await running_scene.stop()
 
         run_virtual(scenario())
 
     def test_refusal_after_a_crash_does_not_say_not_run(self) -> None:
-        """A request that reached an engine and then finds no server may have run."""
+        """A request refused for lack of a server, after it reached an engine, may have run."""
 
         async def scenario() -> None:
-            made = scene(1)
-            await made.start()
-            made.leave("engine-1")
-            made.leave("engine-2")
-            made.leave("engine-3")
-            await made.clock.sleep(6.0)
-            assert not await made.ask(0, f"a die {CRASH_MARK}")
-            made.check()
-            await made.stop()
+            running_scene = scene(1)
+            await running_scene.start()
+            running_scene.leave("engine-1")
+            running_scene.leave("engine-2")
+            running_scene.leave("engine-3")
+            await running_scene.clock.sleep(6.0)
+            assert not await running_scene.ask(0, f"a die {CRASH_MARK}")
+            running_scene.check()
+            await running_scene.stop()
 
         run_virtual(scenario())
--- a/tests/fuzz/test_fuzz.py
+++ b/tests/fuzz/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the whole service on virtual time, judged by the oracle."""
+"""Stateful fuzzing of the whole service in virtual time, checked by the oracle."""
 
 import os
 
@@ -12,7 +12,7 @@
 
 
 def fuzz(machine: type[FaultMachine]) -> None:
-    """Run CI's fixed examples, or those that ``make fuzz`` asks for, which shrink."""
+    """Run the fixed examples of CI, or the seeded ones of ``make fuzz``, which are shrunk."""
     run_seed = os.environ.get("VERBENAWIND_FUZZ_SEED")
     examples = int(os.environ.get("VERBENAWIND_FUZZ_EXAMPLES", CI_EXAMPLES))
     phases = (Phase.generate,) if run_seed is None else (Phase.generate, Phase.shrink)
@@ -33,13 +33,13 @@
 
 class TestFuzz:
     def test_trainers(self) -> None:
-        """No sequence of trainers' calls and faults breaks a promise."""
+        """No sequence of trainer calls and faults violates a promise."""
         fuzz(TrainerMachine)
 
     def test_callers(self) -> None:
-        """No sequence of application callers' calls and faults breaks a promise."""
+        """No sequence of application calls and faults violates a promise."""
         fuzz(CallerMachine)
 
     def test_together(self) -> None:
-        """No sequence of anybody's calls and faults breaks a promise."""
+        """No sequence of trainer calls, application calls and faults violates a promise."""
         fuzz(ServiceMachine)
--- a/tests/fuzz/test_known_sequences.py
+++ b/tests/fuzz/test_known_sequences.py
@@ -1,11 +1,11 @@
-"""Sequences of faults that fuzzing found to break a promise, replayed as they were found."""
+"""Sequences of rules that violated a promise in a fuzzing run, replayed unshortened."""
 
 from fuzz.machine import TrainerMachine
 
 
 class TestKnownSequences:
-    def test_step_is_whole_after_crashes_cuts_and_lost_daemons(self) -> None:
-        """A step accepted among crashes, cuts and paused daemons is made whole after they end."""
+    def test_step_completes_after_crashes_partitions_and_lost_daemons(self) -> None:
+        """A step accepted during crashes, partitions and daemon failures completes afterwards."""
         machine = TrainerMachine()
         machine.begin(seed=3)
         machine.crash_engine(engine=3)
@@ -35,6 +35,6 @@
         machine.lose_daemon(index=2, pause=True)
         machine.crash_engine(engine=0)
         machine.change_store(fault="lossy")
-        machine.change_store(fault="whole")
+        machine.change_store(fault="healthy")
         machine.change_store(fault="lossy")
         machine.teardown()
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -1,4 +1,7 @@
-"""Breaks the mechanism of each promise on purpose; the oracle must see it, and only then."""
+"""Mutation tests of the oracle: it must report a promise whose mechanism is disabled.
+
+Each mutation runs in a scenario that violates no promise while the mechanism works.
+"""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -25,144 +28,146 @@
 Patch = pytest.MonkeyPatch
 Scenario = Callable[[Scene], Awaitable[None]]
 
-_HALF_MADE_S = 0.4
+_SWAP_DELAY_S = 0.4
 
 # Scenarios.
 
 
-async def step_under_a_swap(made: Scene) -> None:
-    """A step is generated while a new version reaches the engines."""
-    await made.submit(0, "folders", step_of("folders", 1))
-    await made.clock.sleep(_HALF_MADE_S)
-    await made.publish(0, "folders")
-    await made.quiet()
+async def step_during_swap(scene: Scene) -> None:
+    """The engines swap to a new version while a step is generated."""
+    await scene.submit(0, "folders", step_of("folders", 1))
+    await scene.clock.sleep(_SWAP_DELAY_S)
+    await scene.publish(0, "folders")
+    await scene.quiet()
 
 
-async def late_poll(made: Scene) -> None:
-    """A trainer polls a finished step two versions later."""
-    await made.submit(0, "folders", step_of("folders", 1))
-    await made.clock.sleep(20.0)
+async def late_poll(scene: Scene) -> None:
+    """A trainer polls for a step after publishing two newer versions."""
+    await scene.submit(0, "folders", step_of("folders", 1))
+    await scene.clock.sleep(20.0)
     for _ in range(2):
-        await made.publish(1, "folders")
-        await made.clock.sleep(4.0)
-    await made.quiet(60.0)
+        await scene.publish(1, "folders")
+        await scene.clock.sleep(4.0)
+    await scene.quiet(60.0)
 
 
-async def two_polls(made: Scene) -> None:
-    """A trainer polls twice for two steps."""
+async def two_polls(scene: Scene) -> None:
+    """A trainer polls for two steps one after the other."""
     for step in (1, 2):
-        await made.submit(0, "folders", step_of("folders", step))
-        await made.clock.sleep(15.0)
-        await made.poll(0, "folders")
-    await made.poll(1, "folders")
-
-
-async def grade_twice(made: Scene) -> None:
-    """A trainer whose acknowledgement is lost sends its grades again."""
-    await made.submit(0, "folders", step_of("folders", 1))
-    await made.quiet()
-    await made.grade(0, "folders")
-    made.trainers["folders"].graded.clear()
-    await made.grade(1, "folders")
+        await scene.submit(0, "folders", step_of("folders", step))
+        await scene.clock.sleep(15.0)
+        await scene.poll(0, "folders")
+    await scene.poll(1, "folders")
+
+
+async def repeated_grades(scene: Scene) -> None:
+    """A trainer sends its grades again after losing the acknowledgement."""
+    await scene.submit(0, "folders", step_of("folders", 1))
+    await scene.quiet()
+    await scene.grade(0, "folders")
+    scene.trainers["folders"].graded.clear()
+    await scene.grade(1, "folders")
     for _ in range(4):
-        await made.poll(0, "folders")
+        await scene.poll(0, "folders")
 
 
-async def truncated_streams(made: Scene) -> None:
-    """Engines drop their end marks while a caller asks."""
-    for engine in made.world.engines.values():
+async def truncated_streams(scene: Scene) -> None:
+    """Engines omit the end marker of their streams."""
+    for engine in scene.world.engines.values():
         engine.faults.drop_end_mark = True
-    asked = made.ask(0, "which die")
-    await made.clock.sleep(2.0)
-    for engine in made.world.engines.values():
+    calls = scene.ask(0, "which die")
+    await scene.clock.sleep(2.0)
+    for engine in scene.world.engines.values():
         engine.faults.drop_end_mark = False
-    await asked
+    await calls
 
 
-async def crash_in_mid_answer(made: Scene) -> None:
-    """Every engine but one crashes while callers are being answered."""
-    asked = [made.ask(index % 3, f"die {index}", max_tokens=400) for index in range(8)]
-    await made.clock.sleep(0.2)
+async def crash_while_streaming(scene: Scene) -> None:
+    """All engines but one crash while they stream answers."""
+    calls = [scene.ask(index % 3, f"die {index}", max_tokens=400) for index in range(8)]
+    await scene.clock.sleep(0.2)
     for name in ("engine-0", "engine-1", "engine-2"):
-        made.world.engines[name].crash()
-    await asyncio.wait(asked)
+        scene.world.engines[name].crash()
+    await asyncio.wait(calls)
 
 
-async def crashing_request(made: Scene) -> None:
-    """A caller's request crashes engines until it is refused."""
-    await made.ask(0, f"a die {CRASH_MARK}")
+async def crashing_request(scene: Scene) -> None:
+    """A request crashes the engines that it runs on until it is refused."""
+    await scene.ask(0, f"a die {CRASH_MARK}")
 
 
-async def doubled_booking(made: Scene) -> None:
-    """A caller books at one daemon and repeats it at another at once."""
-    booked = [
-        made.book(0, "pallet", "window envelopes"),
-        made.book(1, "pallet", "window envelopes"),
+async def duplicate_booking(scene: Scene) -> None:
+    """A caller sends the same booking to two daemons at once."""
+    calls = [
+        scene.book(0, "pallet", "window envelopes"),
+        scene.book(1, "pallet", "window envelopes"),
     ]
-    await asyncio.wait(booked)
+    await asyncio.wait(calls)
 
 
-async def leaving_engine(made: Scene) -> None:
-    """Callers ask after an engine began to leave."""
-    made.leave("engine-1")
-    await made.clock.sleep(8.0)
-    asked = [made.ask(index % 3, f"job {index}") for index in range(12)]
-    await asyncio.wait(asked)
+async def leaving_engine(scene: Scene) -> None:
+    """Callers send requests after an engine was listed as leaving."""
+    scene.leave("engine-1")
+    await scene.clock.sleep(8.0)
+    calls = [scene.ask(index % 3, f"job {index}") for index in range(12)]
+    await asyncio.wait(calls)
 
 
-async def shutdown_under_load(made: Scene) -> None:
-    """A daemon shuts down while it answers callers."""
-    asked = [made.ask(0, f"job {index}", max_tokens=300) for index in range(4)]
-    await made.clock.sleep(0.1)
-    await made.stop_daemon(0)
-    await asyncio.wait(asked)
+async def shutdown_under_load(scene: Scene) -> None:
+    """A daemon shuts down while it streams answers."""
+    calls = [scene.ask(0, f"job {index}", max_tokens=300) for index in range(4)]
+    await scene.clock.sleep(0.1)
+    await scene.stop_daemon(0)
+    await asyncio.wait(calls)
 
 
-async def late_table_answer(made: Scene) -> None:
-    """An answer of the table that was read before a change arrives after it."""
-    world, zone = made.world, made.world.locations[2].zone
-    usual = world.network._delay_s
-    world.network._delay_s = lambda a, b: 1.2 if (a, b) == (PLATFORM, zone) else usual(a, b)
+async def delayed_table_response(scene: Scene) -> None:
+    """Slow table responses reach one daemon after newer revisions."""
+    world, zone = scene.world, scene.world.locations[2].zone
+    original_delay_s = world.network._delay_s
+    world.network._delay_s = lambda a, b: (
+        1.2 if (a, b) == (PLATFORM, zone) else original_delay_s(a, b)
+    )
     for number in range(12):
-        await made.accept(0, with_weights(DOCUMENT, 2.0 + number))
+        await scene.accept(0, with_weights(DOCUMENT, 2.0 + number))
         for _ in range(5):
-            await made.clock.sleep(0.1)
-            made.look()
+            await scene.clock.sleep(0.1)
+            scene.look()
 
 
-async def changed_document(made: Scene) -> None:
+async def changed_document(scene: Scene) -> None:
     """An operator changes the document."""
-    await made.accept(0, with_weights(DOCUMENT, 2.0))
-    await made.clock.sleep(8.0)
+    await scene.accept(0, with_weights(DOCUMENT, 2.0))
+    await scene.clock.sleep(8.0)
 
 
-async def racing_operators(made: Scene) -> None:
+async def concurrent_operators(scene: Scene) -> None:
     """Two operators change the document at once."""
     await asyncio.gather(
-        *(made.accept(index, with_weights(DOCUMENT, 2.0 + index)) for index in (0, 1))
+        *(scene.accept(index, with_weights(DOCUMENT, 2.0 + index)) for index in (0, 1))
     )
 
 
-# Breaks.
+# Mutations.
 
 
-def label_with_the_newest_version(patch: Patch) -> None:
-    """Label samples with the version that was ordered instead of the engine's word."""
-    add = sample_generation.PartialSample.add
+def label_with_ordered_version(patch: Patch) -> None:
+    """Label tokens with the ordered version instead of the one that the engine reports."""
+    original_add = sample_generation.PartialSample.add
 
     def mutant(self: sample_generation.PartialSample, event: TokensGenerated) -> None:
-        add(self, msgspec.structs.replace(event, version=1))
+        original_add(self, msgspec.structs.replace(event, version=1))
 
     patch.setattr(sample_generation.PartialSample, "add", mutant)
 
 
-def skip_the_staleness_check(patch: Patch) -> None:
-    """Judge no age at delivery."""
+def skip_staleness_check(patch: Patch) -> None:
+    """Deliver samples of any staleness."""
     patch.setattr(StalenessBound, "allows", lambda _self, _version: True)
 
 
-def forget_what_was_delivered(patch: Patch) -> None:
-    """Acknowledge a cursor without moving past its units."""
+def redeliver_acknowledged_units(patch: Patch) -> None:
+    """Acknowledge a cursor without advancing past its units."""
 
     def mutant(record: Any) -> Any:
         return msgspec.structs.replace(
@@ -173,8 +178,8 @@
     patch.setattr(delivery, "acknowledge", mutant)
 
 
-def forget_known_grades(patch: Patch) -> None:
-    """Take every grade for a new one."""
+def treat_every_grade_as_new(patch: Patch) -> None:
+    """Ignore the grades that are already stored."""
 
     async def mutant(self: Any, _table: Any, addresses: Any) -> None:
         for address in addresses:
@@ -184,12 +189,12 @@
     patch.setattr(grades._GradeChange, "shard_writes", lambda _self: [])
 
 
-def skip_the_end_mark(patch: Patch) -> None:
-    """Take the end of a stream for the end of the answer."""
-    stream = runs.stream
+def accept_truncated_streams(patch: Patch) -> None:
+    """Treat a truncated stream as a complete answer."""
+    original_stream = runs.stream
 
     async def mutant(*args: Any) -> AsyncGenerator[EngineEvent, None]:
-        events = stream(*args)
+        events = original_stream(*args)
         try:
             async for event in events:
                 yield event
@@ -202,40 +207,40 @@
 
 
 def restart_instead_of_resuming(patch: Patch) -> None:
-    """Draw an answer again from its first token after a crash."""
+    """Generate an answer from its first token again after a crash."""
     from verbenawind.routing import attempts
 
-    attempt_of = attempts.attempt_of
+    original_attempt_of = attempts.attempt_of
 
     def mutant(request: Any, answer: Any) -> Any:
-        return msgspec.structs.replace(attempt_of(request, answer), held_token_ids=())
+        return msgspec.structs.replace(original_attempt_of(request, answer), held_token_ids=())
 
     patch.setattr(attempts, "attempt_of", mutant)
     patch.setattr(attempts, "check_event", lambda *_: None)
 
 
-def claim_that_nothing_ran(patch: Patch) -> None:
-    """Call every failed generation not run."""
+def report_every_failure_as_not_run(patch: Patch) -> None:
+    """Report that failed generations did not run."""
     patch.setattr(runs.Run, "outcome", lambda _self: Outcome.NOT_RUN)
 
 
 def grant_every_claim(patch: Patch) -> None:
-    """Let everybody who asks dispatch a booking."""
-    claim = Claims.claim
+    """Grant the claim of a booking to every daemon that asks."""
+    original_claim = Claims.claim
 
     async def mutant(self: Claims, request: Any, operation_id: str) -> Any:
-        return msgspec.structs.replace(await claim(self, request, operation_id), held=True)
+        return msgspec.structs.replace(await original_claim(self, request, operation_id), held=True)
 
     patch.setattr(Claims, "claim", mutant)
 
 
 def ignore_leaving_servers(patch: Patch) -> None:
-    """Hear nothing of servers that leave."""
+    """Ignore that a server is leaving."""
     patch.setattr(Fleet, "mark_leaving", lambda *_: None)
 
 
 def stop_without_draining(patch: Patch) -> None:
-    """End a daemon without waiting for its requests."""
+    """Stop a daemon without waiting for its requests."""
 
     async def mutant(_self: Any) -> None:
         return None
@@ -243,32 +248,32 @@
     patch.setattr(dispatcher.Dispatcher, "drain", mutant)
 
 
-def learn_older_revisions(patch: Patch) -> None:
-    """Put whatever revision arrives last into force."""
-    learn = ConfigurationStore.learn
+def accept_older_revisions(patch: Patch) -> None:
+    """Activate the revision that arrives last, even an older one."""
+    original_learn = ConfigurationStore.learn
 
     def mutant(self: ConfigurationStore, revision: Any, *source: str) -> bool:
         self._current.pop((revision.environment, str(revision.stage)), None)
-        return learn(self, revision, *source)
+        return original_learn(self, revision, *source)
 
     patch.setattr(ConfigurationStore, "learn", mutant)
 
 
-def learn_nothing_from_others(patch: Patch) -> None:
-    """Keep the first revision that a daemon hears of, unless its own operator changes it."""
-    learn = ConfigurationStore.learn
+def ignore_revisions_of_other_operators(patch: Patch) -> None:
+    """Ignore later revisions that were not submitted to this daemon by an operator."""
+    original_learn = ConfigurationStore.learn
 
     def mutant(self: ConfigurationStore, revision: Any, source: str = "table") -> bool:
         if source != "the operator" and revision.revision > 1:
             return False
-        return learn(self, revision, source)
+        return original_learn(self, revision, source)
 
     patch.setattr(ConfigurationStore, "learn", mutant)
 
 
-def accept_without_a_condition(patch: Patch) -> None:
-    """Write revisions without comparing what is there."""
-    commit = ConfigurationStore._commit
+def commit_revisions_unconditionally(patch: Patch) -> None:
+    """Write revisions without checking the current one."""
+    original_commit = ConfigurationStore._commit
 
     async def mutant(self: ConfigurationStore, revision: Any, head: Any) -> None:
         table = self._table
@@ -283,7 +288,7 @@
 
         self._table = Unconditional()  # type: ignore[assignment]
         try:
-            await commit(self, revision, head)
+            await original_commit(self, revision, head)
         finally:
             self._table = table
 
@@ -291,55 +296,55 @@
 
 
 CHECKS = [
-    (Promise.LABELS, step_under_a_swap, label_with_the_newest_version),
-    (Promise.STALENESS, late_poll, skip_the_staleness_check),
-    (Promise.EXACTLY_ONCE, two_polls, forget_what_was_delivered),
-    (Promise.EXACTLY_ONCE, grade_twice, forget_known_grades),
-    (Promise.WHOLE_ANSWERS, truncated_streams, skip_the_end_mark),
-    (Promise.WHOLE_ANSWERS, crash_in_mid_answer, restart_instead_of_resuming),
-    (Promise.NOT_RUN, crashing_request, claim_that_nothing_ran),
-    (Promise.AT_MOST_ONCE, doubled_booking, grant_every_claim),
+    (Promise.LABELS, step_during_swap, label_with_ordered_version),
+    (Promise.STALENESS, late_poll, skip_staleness_check),
+    (Promise.EXACTLY_ONCE, two_polls, redeliver_acknowledged_units),
+    (Promise.EXACTLY_ONCE, repeated_grades, treat_every_grade_as_new),
+    (Promise.WHOLE_ANSWERS, truncated_streams, accept_truncated_streams),
+    (Promise.WHOLE_ANSWERS, crash_while_streaming, restart_instead_of_resuming),
+    (Promise.NOT_RUN, crashing_request, report_every_failure_as_not_run),
+    (Promise.AT_MOST_ONCE, duplicate_booking, grant_every_claim),
     (Promise.LEAVING, leaving_engine, ignore_leaving_servers),
     (Promise.GRACEFUL_SHUTDOWN, shutdown_under_load, stop_without_draining),
-    (Promise.CONFIGURATION, late_table_answer, learn_older_revisions),
-    (Promise.CONFIGURATION, changed_document, learn_nothing_from_others),
-    (Promise.CONFIGURATION, racing_operators, accept_without_a_condition),
+    (Promise.CONFIGURATION, delayed_table_response, accept_older_revisions),
+    (Promise.CONFIGURATION, changed_document, ignore_revisions_of_other_operators),
+    (Promise.CONFIGURATION, concurrent_operators, commit_revisions_unconditionally),
 ]
-IDS = [check[2].__name__ for check in CHECKS]
+CHECK_IDS = [check[2].__name__ for check in CHECKS]
 
 
-def broken_promises(scenario: Scenario) -> set[Promise]:
-    """Run a scenario and return the promises that it broke."""
+def violated_promises(scenario: Scenario) -> set[Promise]:
+    """Run a scenario and return the promises that it violated."""
 
     async def run() -> set[Promise]:
-        made = scene(1)
-        await made.start()
+        running_scene = scene(1)
+        await running_scene.start()
         try:
-            await scenario(made)
-            made.collect()
-            made.look()
-            return {violation.promise for violation in made.oracle.judge()}
+            await scenario(running_scene)
+            running_scene.collect()
+            running_scene.look()
+            return {violation.promise for violation in running_scene.oracle.judge()}
         finally:
-            await made.stop()
+            await running_scene.stop()
 
     return run_virtual(run())
 
 
-@pytest.mark.parametrize(("promise", "scenario", "mutate"), CHECKS, ids=IDS)
+@pytest.mark.parametrize(("promise", "scenario", "mutate"), CHECKS, ids=CHECK_IDS)
 class TestMutations:
-    def test_scenario_is_clean(
+    def test_scenario_violates_nothing(
         self, promise: Promise, scenario: Scenario, mutate: Callable[[Patch], None]
     ) -> None:
-        """The scenario breaks no promise while the mechanism works."""
-        assert broken_promises(scenario) == set()
+        """The scenario violates no promise while the mechanism works."""
+        assert violated_promises(scenario) == set()
 
-    def test_break_is_found(
+    def test_mutation_is_detected(
         self,
         promise: Promise,
         scenario: Scenario,
         mutate: Callable[[Patch], None],
         monkeypatch: Patch,
     ) -> None:
-        """The broken mechanism shows as a broken promise."""
+        """The oracle reports the promise whose mechanism is disabled."""
         mutate(monkeypatch)
-        assert promise in broken_promises(scenario)
+        assert promise in violated_promises(scenario)
