--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets exactly the tests that KNOWN-RED.txt lists fail, and prints them."""
+"""Expects the tests listed in KNOWN-RED.txt, and no others, to fail, and prints them."""
 
 import logging
 from collections.abc import Iterator
@@ -7,21 +7,21 @@
 import pytest
 import structlog
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def known_red() -> frozenset[str]:
-    """Return the node ids that KNOWN-RED.txt lists, one at the start of each entry's line."""
-    lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
+def expected_failures() -> frozenset[str]:
+    """Return the node ids listed in KNOWN-RED.txt, each the first word of its entry's line."""
+    lines = KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else []
     return frozenset(line.split()[0] for line in lines if line.startswith("tests/"))
 
 
 @pytest.hookimpl(hookwrapper=True)
 def pytest_runtest_makereport(item: pytest.Item, call: pytest.CallInfo[None]) -> Iterator[None]:
-    """Report the failure of a listed test as an expected one."""
+    """Report the result of a listed test as an expected failure or an unexpected pass."""
     outcome = yield
     report = outcome.get_result()
-    if item.nodeid not in known_red():
+    if item.nodeid not in expected_failures():
         return
     if report.failed:
         report.outcome = "skipped"
@@ -31,7 +31,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the listed tests that failed, and those whose entry should go."""
+    """Print the listed tests that failed, and those that passed and need no entry."""
     for report in terminalreporter.stats.get("xfailed", []):
         if "KNOWN-RED" in report.wasxfail:
             terminalreporter.write_line(f"KNOWN RED {report.nodeid}", red=True)
@@ -44,5 +44,5 @@
 
 @pytest.fixture(autouse=True, scope="session")
 def _quiet_logs() -> None:
-    """Drop log lines below errors; a test that reads them sets its own configuration."""
+    """Log errors only; a test that checks log lines configures structlog itself."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that may fail."""
+"""Tests of KNOWN-RED.txt, the list of tests that may fail."""
 
 import shutil
 import subprocess
@@ -8,20 +8,20 @@
 import conftest
 
 TESTS = """
-def test_red():
+def test_failing():
     assert False
 
-def test_mended():
+def test_passing():
     assert True
 """
 
 
-def run(directory: Path, listed: str) -> subprocess.CompletedProcess[str]:
-    """Run two tests, one of them failing, under a list of known red ones."""
+def run_pytest(directory: Path, entries: str) -> subprocess.CompletedProcess[str]:
+    """Run a failing and a passing test with these contents of KNOWN-RED.txt."""
     (directory / "tests").mkdir()
     shutil.copy(conftest.__file__, directory / "tests" / "conftest.py")
     (directory / "tests" / "test_some.py").write_text(TESTS)
-    (directory / "KNOWN-RED.txt").write_text(listed)
+    (directory / "KNOWN-RED.txt").write_text(entries)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
     return subprocess.run(
         [*command, f"--rootdir={directory}"], cwd=directory, capture_output=True, text=True
@@ -30,13 +30,16 @@
 
 class TestKnownRed:
     def test_listed_failure_passes_and_is_printed(self, tmp_path: Path) -> None:
-        """A listed test may fail, and a listed one that passes is named."""
-        entries = "tests/test_some.py::test_red  seed 1\ntests/test_some.py::test_mended  seed 1\n"
-        done = run(tmp_path, entries)
-        assert done.returncode == 0
-        assert "KNOWN RED tests/test_some.py::test_red" in done.stdout
-        assert "remove its entry: tests/test_some.py::test_mended" in done.stdout
+        """A listed test may fail, and a listed test that passes is reported."""
+        entries = (
+            "tests/test_some.py::test_failing  seed 1\n"
+            "tests/test_some.py::test_passing  seed 1\n"
+        )
+        result = run_pytest(tmp_path, entries)
+        assert result.returncode == 0
+        assert "KNOWN RED tests/test_some.py::test_failing" in result.stdout
+        assert "remove its entry: tests/test_some.py::test_passing" in result.stdout
 
     def test_other_failure_fails(self, tmp_path: Path) -> None:
-        """A test that is not listed fails the run."""
-        assert run(tmp_path, "tests/test_some.py::test_other  seed 1\n").returncode == 1
+        """A failing test that is not listed fails the run."""
+        assert run_pytest(tmp_path, "tests/test_some.py::test_other  seed 1\n").returncode == 1
