--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements."""
+"""Benchmarks of the service; ``python -m bench`` runs them."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every bench in turn and writes a results file and a report."""
+"""Runs the benches one after another and writes a results file and a report."""
 
 import functools
 import importlib
@@ -23,19 +23,23 @@
 from bench.results import BenchRun, Results, write_results
 
 _SEED = flags.DEFINE_integer("seed", 1, "Seed of the first repeat.")
-_REPEATS = flags.DEFINE_integer("repeats", 1, "Repeats of each bench, with seeds that follow.")
-_FULL = flags.DEFINE_boolean("full", False, "Run the long forms.")
+_REPEATS = flags.DEFINE_integer("repeats", 1, "Repeats of each bench, with consecutive seeds.")
+_FULL = flags.DEFINE_boolean("full", False, "Run the benches in full size.")
 _ONLY = flags.DEFINE_list("only", [], "Names of the benches to run; all when empty.")
-_BUDGET_S = flags.DEFINE_float("budget_s", 290.0, "Time for all benches together, in seconds.")
-_OUT = flags.DEFINE_string("out", "bench/results", "Directory of the results.")
+_BUDGET_S = flags.DEFINE_float(
+    "budget_s", 290.0, "Time limit for all benches together, in seconds."
+)
+_OUT = flags.DEFINE_string(
+    "out", "bench/results", "Directory for the results, the report and its plots."
+)
 
 
-class _OutOfTime(Exception):
-    """Raised in a bench that would exceed the budget."""
+class _BudgetSpent(Exception):
+    """Raised by a signal in a bench that is still running when the budget is spent."""
 
 
 def find_benches(only: Sequence[str] = ()) -> dict[str, Bench]:
-    """Return the benches by the name of their module; one that cannot be imported fails its run."""
+    """Return the benches by module name; a module that fails to import fails when it is run."""
     found: dict[str, Bench] = {}
     for module in sorted(pkgutil.iter_modules(bench.__path__), key=lambda module: module.name):
         if module.name.startswith("_") or (only and module.name not in only):
@@ -43,23 +47,23 @@
         try:
             run = getattr(importlib.import_module(f"bench.{module.name}"), "run", None)
         except ImportError as error:
-            run = functools.partial(_raise, error)
+            run = functools.partial(_raise_import_error, error)
         if callable(run):
             found[module.name] = run
     return found
 
 
 def run_bench(name: str, run: Bench, seed: int, *, short: bool, limit_s: float) -> BenchRun:
-    """Run one repeat of a bench; a failure becomes part of the results."""
+    """Run one repeat of a bench; an exception is recorded in ``failure`` of the result."""
     started_s = time.perf_counter()
-    signal.signal(signal.SIGALRM, _alarm)
+    signal.signal(signal.SIGALRM, _raise_budget_spent)
     signal.setitimer(signal.ITIMER_REAL, limit_s)
     failure = ""
     measurements: tuple[Measurement, ...] = ()
     try:
         measurements = tuple(run(seed, short))
-    except _OutOfTime:
-        failure = f"stopped after {limit_s:.0f} s, when the time for all benches was over"
+    except _BudgetSpent:
+        failure = f"stopped after {limit_s:.0f} s: the time budget of all benches is spent"
     except Exception as error:
         failure = f"{type(error).__name__}: {error}"
     finally:
@@ -76,20 +80,20 @@
 def run_all(
     benches: dict[str, Bench], seed: int, repeats: int, *, short: bool, budget_s: float
 ) -> Results:
-    """Run the benches, repeat after repeat, until the budget is spent."""
+    """Run all benches once per repeat until the time budget is spent."""
     started_at = datetime.now(UTC)
-    ends_at_s = time.perf_counter() + budget_s
+    deadline_s = time.perf_counter() + budget_s
     runs: list[BenchRun] = []
     not_run: list[str] = []
     for repeat in range(repeats):
         for name, run in benches.items():
-            left_s = ends_at_s - time.perf_counter()
-            if left_s < 1.0:
+            remaining_s = deadline_s - time.perf_counter()
+            if remaining_s < 1.0:
                 not_run.append(f"{name} (repeat {repeat + 1})")
                 continue
-            done = run_bench(name, run, seed + repeat, short=short, limit_s=left_s)
-            print(f"{name}: {done.duration_s:.1f} s {done.failure}", file=sys.stderr)
-            runs.append(done)
+            result = run_bench(name, run, seed + repeat, short=short, limit_s=remaining_s)
+            print(f"{name}: {result.duration_s:.1f} s {result.failure}", file=sys.stderr)
+            runs.append(result)
     return Results(
         started_at=started_at.isoformat(timespec="seconds"),
         seed=seed,
@@ -101,12 +105,12 @@
     )
 
 
-def _raise(error: ImportError, _seed: int, _short: bool) -> Sequence[Measurement]:
+def _raise_import_error(error: ImportError, _seed: int, _short: bool) -> Sequence[Measurement]:
     raise error
 
 
-def _alarm(_number: int, _frame: FrameType | None) -> None:
-    raise _OutOfTime
+def _raise_budget_spent(_number: int, _frame: FrameType | None) -> None:
+    raise _BudgetSpent
 
 
 def _main(_: list[str]) -> None:
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,4 +1,4 @@
-"""Sets two results files side by side, with the noise of each over its repeats."""
+"""Compares two results files, taking into account the noise over the repeats of each."""
 
 import sys
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 def compare(before: Results, after: Results) -> Sequence[str]:
-    """Return a Markdown table of the figures that both files have, and what only one has."""
+    """Return a Markdown table of the common figures, and the names of those in one file only."""
     old = {figure.key: figure for figure in figures_of(before.runs)}
     new = {figure.key: figure for figure in figures_of(after.runs)}
     lines = [
@@ -52,7 +52,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the comparison of the two named files."""
+    """Print the comparison of two results files."""
     if len(arguments) != 2:
         print("usage: python -m bench.compare BEFORE.json AFTER.json", file=sys.stderr)
         return 2
--- a/bench/measurements.py
+++ b/bench/measurements.py
@@ -1,4 +1,4 @@
-"""What every bench returns, so that one report can show all of them."""
+"""The common result type of the benches."""
 
 from collections.abc import Callable, Sequence
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Better(StrEnum):
-    """Which direction of a figure is good."""
+    """Which values of a figure are better."""
 
     LOWER = "lower"
     HIGHER = "higher"
@@ -19,9 +19,9 @@
 class Measurement(msgspec.Struct, frozen=True, kw_only=True):
     """One figure of one bench.
 
-    ``variant`` names the policy or size that was measured; ``baseline_variant`` names the variant
-    of the same run that the figure is set against. ``bound`` comes from ``bound_source``, never
-    from a measured figure.
+    ``variant`` names the measured policy or size; ``baseline_variant`` names the variant of the
+    same run that the value is compared with. ``bound`` is a requirement taken from
+    ``bound_source``, never derived from a measured value.
     """
 
     bench: str
@@ -36,4 +36,4 @@
 
 
 Bench = Callable[[int, bool], Sequence[Measurement]]
-"""A bench module's ``run(seed, short)``: the measurements of one run, in short form if asked."""
+"""The type of a bench module's ``run(seed, short)``; *short* selects a smaller, faster run."""
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of one figure's variants, with the bound as a line."""
+"""Bar charts of the variants of a figure, with the bound as a line."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def plot_figure(path: Path, name: str, variants: Sequence[Figure]) -> None:
-    """Draw one bar for each variant; the baseline is grey, whiskers show the range."""
+    """Draw a bar for each variant, grey for the baseline, with the range as error bars."""
     height = 1.3 + _ROW_HEIGHT_INCHES * len(variants)
     canvas = Canvas(figsize=(_WIDTH_INCHES, height), layout="constrained")
     axes = canvas.subplots()
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""The readable report of one run of the benches: Markdown with a plot for each figure."""
+"""Writes the report of a benchmark run: Markdown tables and a plot for each figure."""
 
 from collections.abc import Sequence
 from itertools import groupby
@@ -10,19 +10,20 @@
 __all__ = ["write_report"]
 
 _HEADER = (
-    "| figure | variant | value | range | ratio to baseline | bound | kept | source of the bound |"
+    "| figure | variant | value | range | ratio to baseline | bound | within bound "
+    "| source of the bound |"
 )
 _RULE = "|---|---|---:|---|---:|---:|---|---|"
 
 
 def write_report(directory: Path, stem: str, results: Results) -> Path:
-    """Write the report and its plots next to the results file; return the report's path."""
-    lines = _head(results)
+    """Write the report and its plots to *directory* and return the path of the report."""
+    lines = _heading(results)
     for bench, group in groupby(figures_of(results.runs), lambda fig: fig.measurement.bench):
         figures = list(group)
         lines += ["", f"## {bench}", "", _HEADER, _RULE]
         lines += [_row(figure) for figure in figures]
-        for name, variants in _by_name(figures).items():
+        for name, variants in _group_by_name(figures).items():
             file = f"{stem}-{bench}-{_slug(name)}.png"
             plot_figure(directory / file, name, variants)
             lines += ["", f"![{name}]({file})"]
@@ -31,7 +32,7 @@
     return path
 
 
-def _head(results: Results) -> list[str]:
+def _heading(results: Results) -> list[str]:
     form = "short form" if results.short else "long form"
     lines = [
         f"# Benches of {results.started_at}",
@@ -47,26 +48,26 @@
 
 def _row(figure: Figure) -> str:
     item = figure.measurement
-    spread = f"{min(figure.values):.4g} to {max(figure.values):.4g}"
-    kept = {None: "", True: "yes", False: "**no**"}[figure.within_bound]
+    value_range = f"{min(figure.values):.4g} to {max(figure.values):.4g}"
+    verdict = {None: "", True: "yes", False: "**no**"}[figure.within_bound]
     cells = [
         item.figure,
         item.variant,
         f"{figure.mean:.4g} {item.unit}",
-        spread if len(figure.values) > 1 else "one run",
+        value_range if len(figure.values) > 1 else "one run",
         "" if figure.ratio is None else f"{figure.ratio:.3g}",
         "" if item.bound is None else f"{item.bound:.4g} {item.unit}",
-        kept,
+        verdict,
         item.bound_source,
     ]
     return "| " + " | ".join(cells) + " |"
 
 
-def _by_name(figures: Sequence[Figure]) -> dict[str, list[Figure]]:
-    named: dict[str, list[Figure]] = {}
+def _group_by_name(figures: Sequence[Figure]) -> dict[str, list[Figure]]:
+    by_name: dict[str, list[Figure]] = {}
     for figure in figures:
-        named.setdefault(figure.measurement.figure, []).append(figure)
-    return named
+        by_name.setdefault(figure.measurement.figure, []).append(figure)
+    return by_name
 
 
 def _slug(name: str) -> str:
--- a/bench/results.py
+++ b/bench/results.py
@@ -1,4 +1,4 @@
-"""The results file: what one run of the benches measured, over its repeats."""
+"""The results file of a benchmark run, and the statistics over its repeats."""
 
 import statistics
 from collections.abc import Iterable, Sequence
@@ -12,7 +12,7 @@
 
 
 class BenchRun(msgspec.Struct, frozen=True, kw_only=True):
-    """One repeat of one bench; ``failure`` says why it has no measurements."""
+    """One repeat of one bench; ``failure`` is the reason why it has no measurements."""
 
     bench: str
     seed: int
@@ -22,7 +22,7 @@
 
 
 class Results(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that one run measured; ``not_run`` names benches that the time ran out for."""
+    """The contents of a results file; ``not_run`` names the benches skipped for lack of time."""
 
     started_at: str
     seed: int
@@ -34,7 +34,7 @@
 
 
 class Figure(msgspec.Struct, frozen=True, kw_only=True):
-    """One figure of one variant over the repeats; ``ratios`` are to the repeat's own baseline."""
+    """One figure of one variant over the repeats; ``ratios`` are to the baseline of each repeat."""
 
     measurement: Measurement
     values: tuple[float, ...]
@@ -42,29 +42,29 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """What the figure is called in every results file."""
+        """Bench, figure and variant, which identify the figure across results files."""
         return self.measurement.bench, self.measurement.figure, self.measurement.variant
 
     @property
     def mean(self) -> float:
-        """The mean over the repeats."""
+        """Mean over the repeats."""
         return statistics.fmean(self.values)
 
     @property
     def noise(self) -> float | None:
-        """Half the range over the repeats as a share of the mean, None for one repeat."""
+        """Half the range over the repeats, relative to the mean; None for a single repeat."""
         if len(self.values) < 2 or self.mean == 0.0:
             return None
         return (max(self.values) - min(self.values)) / 2.0 / abs(self.mean)
 
     @property
     def ratio(self) -> float | None:
-        """The mean ratio to the baseline, None without one."""
+        """Mean ratio to the baseline; None without a baseline."""
         return statistics.fmean(self.ratios) if self.ratios else None
 
     @property
     def within_bound(self) -> bool | None:
-        """Whether every repeat kept the bound, None without a bound or a direction."""
+        """Whether every repeat is within the bound; None without a bound or a direction."""
         bound, better = self.measurement.bound, self.measurement.better
         if bound is None or better is Better.NEITHER:
             return None
@@ -98,5 +98,5 @@
 
 
 def read_results(path: Path) -> Results:
-    """Return what a results file holds."""
+    """Read a results file."""
     return msgspec.json.decode(path.read_bytes(), type=Results)
