--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""What membership costs a daemon, by peers and engines, and how fast it notices things."""
+"""The cost of membership per daemon by number of peers and engines, and its detection times."""
 
 import asyncio
 import gc
@@ -11,7 +11,7 @@
 import structlog
 
 from bench.measurements import Better, Measurement
-from bench.peer_cluster import EngineNoise, PeerCluster
+from bench.peer_cluster import EngineUpdates, PeerCluster
 from verbenawind.clock import LoopClock, SystemClock
 from verbenawind.kernel.ports import SpreadItem
 from verbenawind.plugins.peer_websocket import WebSocketPeerTransport
@@ -22,23 +22,23 @@
 __all__ = ["run"]
 
 _BENCH = "membership"
-_LETTER = "letter 1"
+_BOUND_SOURCE = "letter 1"
 _SWAPS_PER_S = 2 / 120.0
 _LOAD_UPDATES_PER_S = 4.0
-_HEADER_BYTES = 44
+_FRAME_OVERHEAD_BYTES = 44
 _FEW_ENGINES = 7
 _ZONE_DAEMONS = 60
 _ZONE_ENGINES = 870
-_CONTROL_BYTES_PER_S = 4096.0
-_CONTROL_CORE_SHARE = 0.029
-_CRASH_S = 5.0
-_LEAVE_S = 2.0
-_FORCE_S = 5.0
+_MAX_CONTROL_BYTES_PER_S = 4096.0
+_MAX_CONTROL_CORE_SHARE = 0.029
+_DETECTION_BOUND_S = 5.0
+_LEAVE_BOUND_S = 2.0
+_REVISION_BOUND_S = 5.0
 _REVISION_BYTES = 4096
 
 
 class _Cost:
-    """What one daemon spends, with *peers* daemons in all and *engines* in its zone."""
+    """The cost of one daemon among *peers* daemons, with *engines* in its zone."""
 
     def __init__(self, peers: int, engines: int, figures: tuple[float, float, float]) -> None:
         self.peers = peers
@@ -47,60 +47,67 @@
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the figures of one run."""
+    """Return the costs, their extrapolation and the detection times."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    costs = _costs(seed, short)
-    measurements = [measurement for cost in costs for measurement in _cost_figures(cost)]
-    measurements += _extrapolated(costs)
-    measurements += _detection(seed, short)
+    costs = _measure_costs(seed, short)
+    measurements = [measurement for cost in costs for measurement in _cost_measurements(cost)]
+    measurements += _extrapolate(costs)
+    measurements += _measure_detection(seed, short)
     return measurements
 
 
-def _costs(seed: int, short: bool) -> list[_Cost]:
+def _measure_costs(seed: int, short: bool) -> list[_Cost]:
     if short:
         sizes = [(4, 7), (32, 7), (32, 870)]
-        settling_s, duration_s = 8.0, 4.0
+        settle_s, duration_s = 8.0, 4.0
     else:
         sizes = [(4, 7), (8, 7), (16, 7), (32, 7), (64, 7), (32, 100), (32, 400), (32, 870)]
         sizes.append((64, 870))
-        settling_s, duration_s = 20.0, 15.0
+        settle_s, duration_s = 20.0, 15.0
     return [
-        asyncio.run(_cost(seed, peers, engines, settling_s, duration_s)) for peers, engines in sizes
+        asyncio.run(_measure_cost(seed, peers, engines, settle_s, duration_s))
+        for peers, engines in sizes
     ]
 
 
-async def _cost(seed: int, peers: int, engines: int, settling_s: float, duration_s: float) -> _Cost:
+async def _measure_cost(
+    seed: int, peers: int, engines: int, settle_s: float, duration_s: float
+) -> _Cost:
     clock, rng = SystemClock(), Random(seed)
     gc.collect()
     before_kib = _resident_kib()
     cluster = PeerCluster(clock, rng, lambda _id, _zone: WebSocketPeerTransport())
     await cluster.start([peers])
-    noise = EngineNoise(
+    updates = EngineUpdates(
         cluster.buses,
         engines,
         rng,
         changes_per_s=_SWAPS_PER_S,
         load_updates_per_s=_LOAD_UPDATES_PER_S,
     )
-    noise.spread_all()
-    everywhere = await cluster.until(
+    updates.spread_all()
+    spread_s = await cluster.wait_until(
         lambda: all(len(bus.items("engine")) == engines for bus in cluster.buses), 30.0
     )
-    assert everywhere < 30.0
-    task = asyncio.ensure_future(noise.run(clock))
-    await asyncio.sleep(settling_s)
-    moved, frames, cpu_s = cluster.bytes_moved(), cluster.frames_moved(), time.process_time()
+    assert spread_s < 30.0
+    task = asyncio.ensure_future(updates.run(clock))
+    await asyncio.sleep(settle_s)
+    moved_bytes, frames, cpu_s = (
+        cluster.transferred_bytes(),
+        cluster.transferred_frames(),
+        time.process_time(),
+    )
     started_s = clock.monotonic_s()
     await asyncio.sleep(duration_s)
-    passed_s = clock.monotonic_s() - started_s
+    elapsed_s = clock.monotonic_s() - started_s
     cpu_s = time.process_time() - cpu_s
-    moved = cluster.bytes_moved() - moved
-    frames = cluster.frames_moved() - frames
+    moved_bytes = cluster.transferred_bytes() - moved_bytes
+    frames = cluster.transferred_frames() - frames
     resident_kib = (_resident_kib() - before_kib) / peers
     task.cancel()
     await cluster.stop()
-    per_daemon_s = passed_s * peers
-    total_bytes = moved + _HEADER_BYTES * frames
+    per_daemon_s = elapsed_s * peers
+    total_bytes = moved_bytes + _FRAME_OVERHEAD_BYTES * frames
     return _Cost(peers, engines, (total_bytes / per_daemon_s, cpu_s / per_daemon_s, resident_kib))
 
 
@@ -110,12 +117,12 @@
     return pages * resource.getpagesize() / 1024
 
 
-def _cost_figures(cost: _Cost) -> Sequence[Measurement]:
+def _cost_measurements(cost: _Cost) -> Sequence[Measurement]:
     variant = f"{cost.peers} peers, {cost.engines} engines"
     return [
-        _figure("control traffic", variant, cost.bytes_per_s, "B/s"),
-        _figure("processor share", variant, cost.core_share, "core"),
-        _figure("resident memory", variant, cost.resident_kib / 1024, "MiB"),
+        _measurement("control traffic", variant, cost.bytes_per_s, "B/s"),
+        _measurement("processor share", variant, cost.core_share, "core"),
+        _measurement("resident memory", variant, cost.resident_kib / 1024, "MiB"),
     ]
 
 
@@ -127,24 +134,30 @@
     return cost.core_share
 
 
-def _extrapolated(costs: Sequence[_Cost]) -> Sequence[Measurement]:
-    """Add the slopes up to a zone of 60 daemons and 870 engines, and to 420 daemons."""
+def _extrapolate(costs: Sequence[_Cost]) -> Sequence[Measurement]:
+    """Extrapolate linearly to a zone of 60 daemons and 870 engines."""
     few_engines = [cost for cost in costs if cost.engines == _FEW_ENGINES]
-    small = min(few_engines, key=lambda cost: cost.peers)
-    wide = max(few_engines, key=lambda cost: cost.peers)
-    near = next(cost for cost in costs if (cost.peers, cost.engines) == (32, _FEW_ENGINES))
-    deep = next(cost for cost in costs if (cost.peers, cost.engines) == (32, _ZONE_ENGINES))
+    few_peers = min(few_engines, key=lambda cost: cost.peers)
+    many_peers = max(few_engines, key=lambda cost: cost.peers)
+    few_engines_of_32 = next(
+        cost for cost in costs if (cost.peers, cost.engines) == (32, _FEW_ENGINES)
+    )
+    many_engines_of_32 = next(
+        cost for cost in costs if (cost.peers, cost.engines) == (32, _ZONE_ENGINES)
+    )
     figures: list[Measurement] = []
     for name, unit, bound, read in (
-        ("control traffic", "B/s", _CONTROL_BYTES_PER_S, _bytes_per_s),
-        ("processor share", "core", _CONTROL_CORE_SHARE, _core_share),
+        ("control traffic", "B/s", _MAX_CONTROL_BYTES_PER_S, _bytes_per_s),
+        ("processor share", "core", _MAX_CONTROL_CORE_SHARE, _core_share),
     ):
-        by_peer = (read(wide) - read(small)) / (wide.peers - small.peers)
-        by_engine = (read(deep) - read(near)) / (deep.engines - near.engines)
-        total = read(small) + by_peer * _ZONE_DAEMONS + by_engine * _ZONE_ENGINES
+        by_peer = (read(many_peers) - read(few_peers)) / (many_peers.peers - few_peers.peers)
+        by_engine = (read(many_engines_of_32) - read(few_engines_of_32)) / (
+            many_engines_of_32.engines - few_engines_of_32.engines
+        )
+        total = read(few_peers) + by_peer * _ZONE_DAEMONS + by_engine * _ZONE_ENGINES
         figures += [
-            _figure(f"{name} per peer", "slope", by_peer, unit),
-            _figure(f"{name} per engine of the zone", "slope", by_engine, unit),
+            _measurement(f"{name} per peer", "slope", by_peer, unit),
+            _measurement(f"{name} per engine of the zone", "slope", by_engine, unit),
             Measurement(
                 bench=_BENCH,
                 figure=f"{name} of membership alone",
@@ -153,29 +166,29 @@
                 unit=unit,
                 better=Better.LOWER,
                 bound=bound,
-                bound_source=_LETTER,
+                bound_source=_BOUND_SOURCE,
             ),
         ]
     return figures
 
 
-def _detection(seed: int, short: bool) -> Sequence[Measurement]:
+def _measure_detection(seed: int, short: bool) -> Sequence[Measurement]:
     figures: list[Measurement] = []
-    rounds = 2 if short else 10
+    repeats = 2 if short else 10
     for sizes, variant in (([4, 4, 4], "12 daemons"), ([30, 30], "60 daemons")):
-        results = [run_virtual(_notice(seed + number, sizes)) for number in range(rounds)]
+        results = [run_virtual(_detection_times(seed + number, sizes)) for number in range(repeats)]
         for index, (figure, bound, source) in enumerate(
             (
-                ("crash seen by the zone", _CRASH_S, "issue 6"),
-                ("silence seen by the zone", _CRASH_S, "issue 6"),
-                ("leave seen by the zone", _LEAVE_S, "issue 6"),
-                ("revision held everywhere", _FORCE_S, "issue 6"),
+                ("crash seen by the zone", _DETECTION_BOUND_S, "issue 6"),
+                ("silence seen by the zone", _DETECTION_BOUND_S, "issue 6"),
+                ("leave seen by the zone", _LEAVE_BOUND_S, "issue 6"),
+                ("revision held everywhere", _REVISION_BOUND_S, "issue 6"),
             )
         ):
             figures.append(
                 Measurement(
                     bench=_BENCH,
-                    figure=f"{figure}, worst of {rounds}",
+                    figure=f"{figure}, worst of {repeats}",
                     variant=variant,
                     value=max(result[index] for result in results),
                     unit="s",
@@ -187,7 +200,7 @@
     return figures
 
 
-async def _notice(seed: int, sizes: Sequence[int]) -> tuple[float, float, float, float]:
+async def _detection_times(seed: int, sizes: Sequence[int]) -> tuple[float, float, float, float]:
     """Return how long a crash, a silence, a leave and a revision take to be known."""
     rng = Random(seed)
     clock = LoopClock(datetime(2026, 1, 1, tzinfo=UTC))
@@ -204,24 +217,26 @@
     zone = cluster.buses[: sizes[0]]
     crashed, silent, leaving, *others = zone
 
-    def gone(peer_id: str) -> bool:
+    def is_removed(peer_id: str) -> bool:
         return not any(peer.peer_id == peer_id for bus in others for peer in bus.peers())
 
     body = rng.randbytes(_REVISION_BYTES)
     others[0].spread(SpreadItem(kind="revision", key="e/production", rank=(1,), body=body))
-    held_s = await cluster.until(lambda: all(bus.items("revision") for bus in cluster.buses), 60)
+    held_s = await cluster.wait_until(
+        lambda: all(bus.items("revision") for bus in cluster.buses), 60
+    )
     await leaving.stop()
-    leave_s = await cluster.until(lambda: gone(leaving.peer_id), 60.0)
+    leave_s = await cluster.wait_until(lambda: is_removed(leaving.peer_id), 60.0)
     await crashed.kill()
-    crash_s = await cluster.until(lambda: gone(crashed.peer_id), 60.0)
+    crash_s = await cluster.wait_until(lambda: is_removed(crashed.peer_id), 60.0)
     processes[silent.peer_id].pause()
-    silence_s = await cluster.until(lambda: gone(silent.peer_id), 60.0)
+    silence_s = await cluster.wait_until(lambda: is_removed(silent.peer_id), 60.0)
     processes[silent.peer_id].resume()
     await cluster.stop()
     return crash_s, silence_s, leave_s, held_s
 
 
-def _figure(figure: str, variant: str, value: float, unit: str) -> Measurement:
+def _measurement(figure: str, variant: str, value: float, unit: str) -> Measurement:
     return Measurement(
         bench=_BENCH,
         figure=figure,
--- a/bench/membership_memory.py
+++ b/bench/membership_memory.py
@@ -1,4 +1,4 @@
-"""What a daemon's view of peers and engines takes in memory, and what a probe costs."""
+"""Memory of a daemon's view of peers and engines, and processor time of a status probe."""
 
 import asyncio
 import logging
@@ -28,20 +28,20 @@
 __all__ = ["run"]
 
 _BENCH = "membership-memory"
-_LETTER = "letter 1"
+_BOUND_SOURCE = "letter 1"
 _DAEMONS = 420
 _ZONES = 7
 _ZONE_ENGINES = 870
 _REMOTE_ENGINES = 16 * (_ZONES - 1)
-_CONTROL_MIB = 64.0
-_CONTROL_CORE_SHARE = 0.029
+_MAX_CONTROL_MIB = 64.0
+_MAX_CONTROL_CORE_SHARE = 0.029
 _PROBES = 200
 _PROBES_PER_S = 10.0
 _MIB = 1024 * 1024
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the figures of one run."""
+    """Return the memory by size of the view, and the cost of probing."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     sizes = ((12, 8), (_DAEMONS, _ZONE_ENGINES))
     figures = [
@@ -49,15 +49,15 @@
             bench=_BENCH,
             figure="memory of the view of peers and engines",
             variant=f"{daemons} daemons, {engines} engines in the zone",
-            value=run_virtual(_memory(seed, daemons, engines)),
+            value=run_virtual(_view_memory_mib(seed, daemons, engines)),
             unit="MiB",
             better=Better.LOWER,
-            bound=_CONTROL_MIB,
-            bound_source=_LETTER,
+            bound=_MAX_CONTROL_MIB,
+            bound_source=_BOUND_SOURCE,
         )
         for daemons, engines in sizes
     ]
-    probe_s = asyncio.run(_probe_cost(_PROBES if short else 5 * _PROBES))
+    probe_s = asyncio.run(_probe_cpu_s(_PROBES if short else 5 * _PROBES))
     figures.append(
         Measurement(
             bench=_BENCH,
@@ -76,20 +76,20 @@
             value=probe_s * _PROBES_PER_S,
             unit="core",
             better=Better.LOWER,
-            bound=_CONTROL_CORE_SHARE,
-            bound_source=_LETTER,
+            bound=_MAX_CONTROL_CORE_SHARE,
+            bound_source=_BOUND_SOURCE,
         )
     )
     return figures
 
 
-async def _memory(seed: int, daemons: int, engines: int) -> float:
-    """Return what a daemon holds in MiB when everybody and every engine are known to it."""
+async def _view_memory_mib(seed: int, daemons: int, engines: int) -> float:
+    """Return the memory in MiB of a daemon that knows all peers and engines."""
     world = World(seed)
     outside = world.outside(Process(world.network, "zone-0"))
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    bus, fleet, _ = _parts(outside)
+    before_bytes = tracemalloc.get_traced_memory()[0]
+    bus, fleet, _ = _make_fleet_view(outside)
     for number in range(daemons - 1):
         zone = f"zone-{number % _ZONES}"
         body = cbor2.dumps([f"10.0.{number % 256}.{number // 256}:7000", zone, "region", number])
@@ -105,12 +105,12 @@
         bus.spread(SpreadItem(kind=f"engine{suffix}", key=key, rank=(1, 5), body=status))
     assert all(view.status is not None for view in fleet.all())
     assert len(fleet.all()) >= engines
-    used = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
     tracemalloc.stop()
-    return used / _MIB
+    return used_bytes / _MIB
 
 
-def _parts(outside: Outside) -> tuple[GossipBus, Fleet, FleetWatcher]:
+def _make_fleet_view(outside: Outside) -> tuple[GossipBus, Fleet, FleetWatcher]:
     location = Location(zone="zone-0", region="region")
     clock = LoopClock(datetime(2026, 1, 1, tzinfo=UTC))
     bus = GossipBus(
@@ -135,8 +135,11 @@
     return bus, fleet, watcher
 
 
-async def _probe_cost(probes: int) -> float:
-    """Return the processor time of a status call in seconds, with a server that costs little."""
+async def _probe_cpu_s(probes: int) -> float:
+    """Return the processor time per status call in seconds.
+
+    The server shares the process, so it sends fixed bytes to add little to the client's time.
+    """
     logging.getLogger("httpx").setLevel(logging.WARNING)
     address, server = await _serve_fixed_status()
     clients = PluginBackendClients()
@@ -152,14 +155,14 @@
     started_s = time.process_time()
     for _ in range(probes):
         await client.status()
-    spent_s = time.process_time() - started_s
+    used_s = time.process_time() - started_s
     await client.aclose()
     server.close()
-    return spent_s / probes
+    return used_s / probes
 
 
 async def _serve_fixed_status() -> tuple[str, asyncio.Server]:
-    """Serve the status that a stand-in engine gives, without the stand-in's cost."""
+    """Serve a recorded status of a stand-in engine, without the cost of running the stand-in."""
     engine = StandinEngine("engine-0", {"tuner": 0}, SystemClock(), Random(1))
     standin = HttpServer(engine_app(engine), "127.0.0.1", 0)
     await standin.start()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""What one daemon adds to streamed answers: real sockets, real time, the real program."""
+"""The overhead of a daemon process on streamed answers, over real sockets and in real time."""
 
 import asyncio
 import statistics
@@ -30,10 +30,10 @@
 __all__ = ["run"]
 
 _BENCH = "overhead"
-_TARGET = "issue 4"
+_BOUND_SOURCE = "issue 4"
 _DIRECT = "direct"
 _DAEMON = "daemon"
-_HELD_FRACTION = 0.98
+_MIN_RATE_FRACTION = 0.98
 _ENGINES = 8
 _TARGET_RATE_PER_S = 150.0
 _RATES_PER_S = (_TARGET_RATE_PER_S / 2, _TARGET_RATE_PER_S)
@@ -42,14 +42,14 @@
 _TOKENS_PER_TICK = 2
 _CALLER_TOKEN = "bench-caller-token"
 _OPERATOR_TOKEN = "bench-operator-token"
-_SETTLE_S = 2.0
+_SETTLE_TIME_S = 2.0
 _READY_TIMEOUT_S = 20.0
 _WARM_UP_REQUESTS = 20
 _CLOCK_TICKS_PER_S = 100.0
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the measurements of one run."""
+    """Return the figures of requests sent directly to the engines and through the daemon."""
     return asyncio.run(_run(seed, 4.0 if short else 30.0))
 
 
@@ -57,7 +57,7 @@
     engines = [FastEngine(f"engine-{index}") for index in range(_ENGINES)]
     for engine in engines:
         await engine.start(_TOKENS, _TOKENS_PER_TICK, _TICK_S)
-    platform = await _platform(seed, engines)
+    platform = await _start_platform(seed, engines)
     port = free_port()
     with tempfile.TemporaryDirectory() as directory:
         settings = Path(directory) / "settings.json"
@@ -71,7 +71,7 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            await _until_ready(port)
+            await _wait_until_ready(port)
             return await _measure(seed, duration_s, port, engines, daemon.pid)
         finally:
             daemon.kill()
@@ -85,38 +85,40 @@
     seed: int, duration_s: float, port: int, engines: Sequence[FastEngine], pid: int
 ) -> list[Measurement]:
     path = "/environments/bench/production/v1/completions"
-    through = [(port, path)]
+    via_daemon = [(port, path)]
     direct = [(engine.port, "/v1/completions") for engine in engines]
-    await asyncio.gather(*(_ask(through, number) for number in range(_WARM_UP_REQUESTS)))
+    await asyncio.gather(
+        *(_send_request(via_daemon, number) for number in range(_WARM_UP_REQUESTS))
+    )
     figures = []
     for rate_per_s in _RATES_PER_S:
-        results = await _load(Random(seed), direct, duration_s, rate_per_s)
-        figures += _figures(_DIRECT, rate_per_s, results, duration_s)
+        results = await _generate_load(Random(seed), direct, duration_s, rate_per_s)
+        figures += _summarize(_DIRECT, rate_per_s, results, duration_s)
         cpu_s, started_s = _cpu_s(pid), time.monotonic()
-        results = await _load(Random(seed), through, duration_s, rate_per_s)
-        share = (_cpu_s(pid) - cpu_s) / (time.monotonic() - started_s)
-        figures += _figures(_DAEMON, rate_per_s, results, duration_s)
+        results = await _generate_load(Random(seed), via_daemon, duration_s, rate_per_s)
+        cores = (_cpu_s(pid) - cpu_s) / (time.monotonic() - started_s)
+        figures += _summarize(_DAEMON, rate_per_s, results, duration_s)
         figures.append(
-            _figure("daemon_processor", _DAEMON, rate_per_s, share, "cores", Better.LOWER)
+            _measurement("daemon_processor", _DAEMON, rate_per_s, cores, "cores", Better.LOWER)
         )
     return figures
 
 
-async def _load(
+async def _generate_load(
     rng: Random, targets: Sequence[tuple[int, str]], duration_s: float, rate_per_s: float
 ) -> list[StreamResult]:
-    """Send at a rate, evenly spaced, and return what came."""
+    """Send evenly spaced requests at a rate and return the results."""
     started_s = time.monotonic()
     tasks = []
     for number in range(int(rate_per_s * duration_s)):
         wait_s = started_s + number / rate_per_s - time.monotonic()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
-        tasks.append(asyncio.ensure_future(_ask([rng.choice(targets)], number)))
+        tasks.append(asyncio.ensure_future(_send_request([rng.choice(targets)], number)))
     return await asyncio.gather(*tasks)
 
 
-async def _ask(targets: Sequence[tuple[int, str]], number: int) -> StreamResult:
+async def _send_request(targets: Sequence[tuple[int, str]], number: int) -> StreamResult:
     port, path = targets[0]
     body = msgspec.json.encode(
         {
@@ -130,63 +132,63 @@
     return await stream_completion(port, path, body, _CALLER_TOKEN)
 
 
-def _figures(
+def _summarize(
     variant: str, rate_per_s: float, results: Sequence[StreamResult], duration_s: float
 ) -> list[Measurement]:
-    whole = [item for item in results if item.whole and item.tokens == _TOKENS]
-    span_s = max(item.ended_at_s for item in results) - min(item.asked_at_s for item in results)
-    # The last request begins at the end of the load, so the mean rate is over the time between
-    # the first start and the last end less one answer of the engines' own length.
+    complete = [item for item in results if item.complete and item.tokens == _TOKENS]
+    span_s = max(item.ended_at_s for item in results) - min(item.sent_at_s for item in results)
+    # The last request starts at the end of the load. The mean rate is therefore taken over the time
+    # from the first start to the last end, less the engines' time for one answer.
     busy_s = max(duration_s, span_s - _TOKENS / _TOKENS_PER_TICK * _TICK_S)
     bounded = variant == _DAEMON and rate_per_s == _TARGET_RATE_PER_S
-    least = rate_per_s * _HELD_FRACTION if bounded else None
+    min_rate_per_s = rate_per_s * _MIN_RATE_FRACTION if bounded else None
     figures = [
-        _figure(
+        _measurement(
             "requests",
             variant,
             rate_per_s,
-            len(whole) / busy_s,
+            len(complete) / busy_s,
             "requests/s",
             Better.HIGHER,
-            bound=least,
+            bound=min_rate_per_s,
         ),
-        _figure(
+        _measurement(
             "tokens",
             variant,
             rate_per_s,
-            len(whole) * _TOKENS / busy_s,
+            len(complete) * _TOKENS / busy_s,
             "tokens/s",
             Better.HIGHER,
-            bound=least * _TOKENS if least else None,
+            bound=min_rate_per_s * _TOKENS if min_rate_per_s else None,
         ),
-        _figure(
+        _measurement(
             "whole_answers",
             variant,
             rate_per_s,
-            len(whole) / len(results),
+            len(complete) / len(results),
             "fraction",
             Better.HIGHER,
         ),
     ]
     for name, times_s in (
-        ("first_token_p50", [item.first_at_s - item.asked_at_s for item in whole]),
-        ("whole_answer_p50", [item.ended_at_s - item.asked_at_s for item in whole]),
+        ("first_token_p50", [item.first_token_at_s - item.sent_at_s for item in complete]),
+        ("whole_answer_p50", [item.ended_at_s - item.sent_at_s for item in complete]),
     ):
-        middle_s = statistics.median(times_s)
-        figures.append(_figure(name, variant, rate_per_s, middle_s, "s", Better.LOWER))
+        median_s = statistics.median(times_s)
+        figures.append(_measurement(name, variant, rate_per_s, median_s, "s", Better.LOWER))
     return figures
 
 
 def _cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+    """Return the user and system time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS_PER_S
 
 
-async def _until_ready(port: int) -> None:
-    ends_at_s = time.monotonic() + _READY_TIMEOUT_S
+async def _wait_until_ready(port: int) -> None:
+    deadline_s = time.monotonic() + _READY_TIMEOUT_S
     while not await is_ready(port):
-        if time.monotonic() > ends_at_s:
+        if time.monotonic() > deadline_s:
             raise TimeoutError(f"the daemon on port {port} did not become ready")
         await asyncio.sleep(0.1)
     async with httpx.AsyncClient(trust_env=False) as operator:
@@ -196,10 +198,10 @@
             headers={"authorization": f"Bearer {_OPERATOR_TOKEN}"},
         )
         answer.raise_for_status()
-    await asyncio.sleep(_SETTLE_S)
+    await asyncio.sleep(_SETTLE_TIME_S)
 
 
-async def _platform(seed: int, engines: Sequence[FastEngine]) -> HttpServer:
+async def _start_platform(seed: int, engines: Sequence[FastEngine]) -> HttpServer:
     clock, rng = SystemClock(), Random(seed)
     table, objects = StandinTable(clock, rng), StandinObjects(clock, rng)
     hosts, weights = StandinHostList(clock, lag_s=0.0), StandinWeights()
@@ -247,7 +249,7 @@
     return msgspec.json.encode(settings).decode()
 
 
-def _figure(
+def _measurement(
     figure: str,
     variant: str,
     rate_per_s: float,
@@ -266,7 +268,7 @@
         better=better,
         baseline_variant=f"{_DIRECT} at {rate_per_s:.0f}/s" if variant == _DAEMON else None,
         bound=bound,
-        bound_source=_TARGET if bound is not None else "",
+        bound_source=_BOUND_SOURCE if bound is not None else "",
     )
 
 
--- a/bench/overhead_engine.py
+++ b/bench/overhead_engine.py
@@ -1,4 +1,4 @@
-"""A stand-in engine that streams fast enough not to be what the overhead bench measures."""
+"""A stand-in engine for the overhead bench, cheap enough not to dominate the measurement."""
 
 import asyncio
 import contextlib
@@ -32,10 +32,10 @@
 
 
 class FastEngine:
-    """Serves one model over raw sockets; the chunks of every answer are made beforehand.
+    """Serves one model over raw sockets; one task writes to all streams at a fixed interval.
 
     Args:
-        server_id: The engine's name in the host list.
+        server_id: Server ID of the engine in the host list.
     """
 
     def __init__(self, server_id: str) -> None:
@@ -43,23 +43,23 @@
         self.port = 0
         self._streams: set[_Stream] = set()
         self._server: asyncio.Server | None = None
-        self._ticker: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
         self._tick_s = 0.0
 
     async def start(self, tokens: int, tokens_per_tick: int, tick_s: float) -> None:
-        """Serve answers of *tokens* tokens, some every *tick_s* seconds."""
+        """Serve answers of *tokens* tokens, *tokens_per_tick* every *tick_s* seconds."""
         self._tick_s = tick_s
         self._starts = list(range(0, tokens, tokens_per_tick))
-        self._count = tokens
-        self._per_tick = tokens_per_tick
+        self._token_count = tokens
+        self._tokens_per_tick = tokens_per_tick
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
-        self._ticker = asyncio.get_running_loop().create_task(self._tick())
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
 
     async def stop(self) -> None:
         """Stop serving."""
-        if self._ticker is not None:
-            self._ticker.cancel()
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         if self._server is not None:
             self._server.close()
 
@@ -71,9 +71,9 @@
                 if head.startswith(b"POST /v1/completions"):
                     await self._stream(body, writer)
                 elif head.startswith(b"GET /cache/events"):
-                    _reply(writer, b'{"position": 0}')
+                    _write_response(writer, b'{"position": 0}')
                 else:
-                    _reply(writer, msgspec.json.encode(self._status()))
+                    _write_response(writer, msgspec.json.encode(self._status()))
         writer.close()
 
     async def _stream(self, body: bytes, writer: asyncio.StreamWriter) -> None:
@@ -86,7 +86,7 @@
         finally:
             self._streams.discard(stream)
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         next_s = loop.time()
         while True:
@@ -99,16 +99,20 @@
         if stream.writer.transport.is_closing():
             stream.done.set()
             return
-        data = _chunk(self._tokens(stream))
-        stream.position += self._per_tick
-        if stream.position >= self._count:
-            data += _chunk(self._end(stream)) + _chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+        data = _http_chunk(self._next_tokens(stream))
+        stream.position += self._tokens_per_tick
+        if stream.position >= self._token_count:
+            data += (
+                _http_chunk(self._end_event(stream))
+                + _http_chunk(b"data: [DONE]\n\n")
+                + b"0\r\n\r\n"
+            )
             self._streams.discard(stream)
             stream.done.set()
         stream.writer.write(data)
 
-    def _tokens(self, stream: _Stream) -> bytes:
-        token_ids = tuple(range(stream.position, stream.position + self._per_tick))
+    def _next_tokens(self, stream: _Stream) -> bytes:
+        token_ids = tuple(range(stream.position, stream.position + self._tokens_per_tick))
         event = TokensGenerated(
             attempt_id=stream.attempt_id,
             start=stream.position,
@@ -116,12 +120,12 @@
             text="word " * len(token_ids),
             version=0,
         )
-        return _line(event)
+        return _sse_event(event)
 
-    def _end(self, stream: _Stream) -> bytes:
-        return _line(
+    def _end_event(self, stream: _Stream) -> bytes:
+        return _sse_event(
             GenerationEnded(
-                attempt_id=stream.attempt_id, token_count=self._count, finish_reason="length"
+                attempt_id=stream.attempt_id, token_count=self._token_count, finish_reason="length"
             )
         )
 
@@ -136,15 +140,15 @@
         )
 
 
-def _line(event: TokensGenerated | GenerationEnded) -> bytes:
+def _sse_event(event: TokensGenerated | GenerationEnded) -> bytes:
     return b"data: " + msgspec.json.encode(chunk_payload(event, "tuner")) + b"\n\n"
 
 
-def _chunk(data: bytes) -> bytes:
+def _http_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def _reply(writer: asyncio.StreamWriter, body: bytes) -> None:
+def _write_response(writer: asyncio.StreamWriter, body: bytes) -> None:
     writer.write(
         b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n%b"
         % (len(body), body)
--- a/bench/peer_cluster.py
+++ b/bench/peer_cluster.py
@@ -1,4 +1,4 @@
-"""Peer buses without the rest of their daemons, for benches of membership."""
+"""Gossip buses without the other parts of their daemons, for the membership benches."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,21 +11,21 @@
 from verbenawind.kernel.ports import PeerTransport, SpreadItem
 from verbenawind.membership import GossipBus
 
-__all__ = ["EngineNoise", "PeerCluster"]
+__all__ = ["EngineUpdates", "PeerCluster"]
 
 _KEY = b"the-key-of-the-bench"
-_SEEDS = 3
-_POLL_S = 0.05
-_JOIN_S = 60.0
+_MAX_SEEDS = 3
+_POLL_INTERVAL_S = 0.05
+_JOIN_TIMEOUT_S = 60.0
 
 
 class PeerCluster:
-    """Buses of some zones in one process.
+    """The gossip buses of several zones in one process.
 
     Args:
         clock: Time source.
         rng: Seeded randomness.
-        transport: Makes the transport of a daemon in a zone.
+        transport: Creates the transport of a daemon from its peer ID and zone.
     """
 
     def __init__(
@@ -37,38 +37,39 @@
         self.buses: list[GossipBus] = []
 
     async def start(self, sizes: Sequence[int]) -> None:
-        """Start zones of these sizes and wait until everybody lists everybody."""
+        """Start zones of these sizes and wait until every bus lists all other peers."""
         for zone, size in enumerate(sizes):
             for number in range(size):
                 await self._add(f"zone-{zone}", f"daemon-{zone}-{number}")
-        await self.until(
-            lambda: all(len(bus.peers()) == len(self.buses) - 1 for bus in self.buses), _JOIN_S
+        await self.wait_until(
+            lambda: all(len(bus.peers()) == len(self.buses) - 1 for bus in self.buses),
+            _JOIN_TIMEOUT_S,
         )
 
     async def stop(self) -> None:
-        """Kill every bus."""
+        """Stop every bus without announcing it."""
         await asyncio.gather(*(bus.kill() for bus in self.buses))
 
-    async def until(self, condition: Callable[[], bool], limit_s: float) -> float:
-        """Return how long *condition* took to hold, *limit_s* when it did not."""
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Return the time until *condition* held, *timeout_s* if it did not."""
         started_s = self._clock.monotonic_s()
         while not condition():
-            passed_s = self._clock.monotonic_s() - started_s
-            if passed_s >= limit_s:
-                return limit_s
-            await asyncio.sleep(_POLL_S)
+            elapsed_s = self._clock.monotonic_s() - started_s
+            if elapsed_s >= timeout_s:
+                return timeout_s
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return self._clock.monotonic_s() - started_s
 
-    def bytes_moved(self) -> int:
-        """Return what all daemons sent and received, without the headers below a frame."""
+    def transferred_bytes(self) -> int:
+        """Return the bytes sent and received by all buses, without lower-layer headers."""
         return sum(bus.traffic.sent_bytes + bus.traffic.received_bytes for bus in self.buses)
 
-    def frames_moved(self) -> int:
-        """Return how many frames all daemons sent and received."""
+    def transferred_frames(self) -> int:
+        """Return the number of frames sent and received by all buses."""
         return sum(bus.traffic.sent_frames + bus.traffic.received_frames for bus in self.buses)
 
     async def _add(self, zone: str, peer_id: str) -> None:
-        seeds = [bus.address for bus in self.buses][:_SEEDS]
+        seeds = [bus.address for bus in self.buses][:_MAX_SEEDS]
         bus = GossipBus(
             peer_id=peer_id,
             location=Location(zone=zone, region=zone),
@@ -83,15 +84,15 @@
         await bus.start()
 
 
-class EngineNoise:
-    """Spreads the changes that the engines of one zone give rise to.
+class EngineUpdates:
+    """Spreads simulated status updates of the engines of one zone.
 
     Args:
-        buses: The zone's daemons; each engine is watched by one of them here.
-        engines: How many engines the zone has.
+        buses: The buses of the zone; each engine's updates come from one of them.
+        engines: Number of engines in the zone.
         rng: Seeded randomness.
-        changes_per_s: Changes of one engine that spread at once, such as swaps, per second.
-        load_updates_per_s: Load updates of the whole zone per second.
+        changes_per_s: Changes per engine and second that are spread immediately, such as swaps.
+        load_updates_per_s: Load updates per second of the whole zone.
     """
 
     def __init__(
@@ -106,24 +107,24 @@
         self._buses = buses
         self._engines = engines
         self._rng = rng
-        self._numbers = [0] * engines
+        self._update_counts = [0] * engines
         loads_per_s = min(load_updates_per_s, 2.0 * engines)
         self._rate_per_s = engines * changes_per_s + loads_per_s
 
     def spread_all(self) -> None:
-        """Spread a first report of every engine."""
+        """Spread the first update of every engine."""
         for engine in range(self._engines):
             self._spread(engine)
 
     async def run(self, clock: Clock) -> None:
-        """Spread changes at the rate until cancelled."""
+        """Spread updates at random times of the given mean rate until cancelled."""
         while True:
             await clock.sleep(self._rng.expovariate(self._rate_per_s))
             self._spread(self._rng.randrange(self._engines))
 
     def _spread(self, engine: int) -> None:
-        self._numbers[engine] += 1
-        number = self._numbers[engine]
+        self._update_counts[engine] += 1
+        number = self._update_counts[engine]
         models = [["tuner", number, [number + 1], 0]]
         body = cbor2.dumps([number % 64, number % 7, 64, False, 12, models])
         self._buses[engine % len(self._buses)].spread(
