--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -1,4 +1,4 @@
-"""Trainer idle time, staleness, waste and store cost of rollouts, at both users' sizes."""
+"""Trainer idle time, staleness, wasted tokens and store writes of rollouts, for both users."""
 
 import math
 from collections import Counter
@@ -25,12 +25,12 @@
 
 _BENCH = "rollout"
 _TOKEN = "0" * 64
-_WARM_UP_S = 5.0
-_LONG_EVERY = 16
+_WARM_UP_TIME_S = 5.0
+_LONG_INTERVAL = 16
 
 
 class _User(msgspec.Struct, frozen=True, kw_only=True):
-    """One user's size and document weights."""
+    """The size of a user's installation and the weights in its document."""
 
     name: str
     regions: tuple[str, ...]
@@ -40,7 +40,7 @@
 
 
 class _Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """One policy that is measured."""
+    """A policy to measure."""
 
     name: str
     rollout: RolloutPolicy = RolloutPolicy()
@@ -87,9 +87,9 @@
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the figures of every user and policy; the same seed gives the same run.
+    """Return the figures of every user and policy; equal seeds give equal runs.
 
-    The short form has smaller steps than the users, so their bounds do not apply to it.
+    The steps of the short form are smaller than the users' steps, so it has no user bounds.
     """
     scale = _Scale(groups=16, group_size=4, steps=3) if short else _Scale()
     return [
@@ -117,11 +117,13 @@
 
 
 def _prompt(_: int, group: int) -> str:
-    """The same jobs come again in each step, so that their lengths can be learned."""
-    return f"envelope job {group}{LONG_MARK if group % _LONG_EVERY == _LONG_EVERY - 1 else ''}"
+    """Return the prompt of a group, the same in each step so that its length can be learned."""
+    return (
+        f"envelope job {group}{LONG_MARK if group % _LONG_INTERVAL == _LONG_INTERVAL - 1 else ''}"
+    )
 
 
-def _generator(core: Core, policy: _Policy, scale: _Scale) -> Generator:
+def _make_generator(core: Core, policy: _Policy, scale: _Scale) -> Generator:
     if not policy.round_robin:
         return core.dispatcher
     return RoundRobinGenerator(
@@ -147,7 +149,7 @@
             table=core.table,
             objects=core.objects,
             leases=core.leases,
-            generator=_generator(core, policy, scale),
+            generator=_make_generator(core, policy, scale),
             peers=core.peers,
             fleet=core.fleet,
             clients=core.outside.clients,
@@ -158,7 +160,7 @@
         await core.start()
     document = _document(user)
     revision = await world.accept(document)
-    await world.clock.sleep(_WARM_UP_S)
+    await world.clock.sleep(_WARM_UP_TIME_S)
     trainer = StandinTrainer(
         CoreTrainerCalls(lambda: cores, revision, world.clock),
         "tuner",
@@ -172,13 +174,15 @@
         steps_ahead=policy.steps_ahead,
         prompt=_prompt,
     )
-    before = table.rollout_writes, world.objects.written_bytes
+    counts_before = table.rollout_writes, world.objects.written_bytes
     await trainer.run(scale.steps)
-    writes = table.rollout_writes - before[0]
-    figures = _figures(world, trainer, scale, writes, world.objects.written_bytes - before[1])
+    writes = table.rollout_writes - counts_before[0]
+    figures = _figures(
+        world, trainer, scale, writes, world.objects.written_bytes - counts_before[1]
+    )
     await world.stop()
-    is_users_size = scale == _Scale()
-    return [_as_measurement(user, policy, figure, is_users_size) for figure in figures]
+    is_full_size = scale == _Scale()
+    return [_to_measurement(user, policy, figure, is_full_size) for figure in figures]
 
 
 class _Figure(msgspec.Struct, frozen=True, kw_only=True):
@@ -190,22 +194,24 @@
 
 
 class _CountingTable(StandinTable):
-    """Counts the writes that serve rollouts: their rows, their leases, versions."""
+    """Counts the row writes for rollouts: rollout rows, rollout leases and versions."""
 
     _PREFIXES = ("rollout/", "lease/rollout/", "version/")
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         super().__init__(clock, rng)
-        self.by_key: Counter[str] = Counter()
+        self.write_counts: Counter[str] = Counter()
 
     @property
     def rollout_writes(self) -> int:
-        """How many rows were written for rollouts."""
-        return sum(count for key, count in self.by_key.items() if key.startswith(self._PREFIXES))
+        """Number of rows written for rollouts."""
+        return sum(
+            count for key, count in self.write_counts.items() if key.startswith(self._PREFIXES)
+        )
 
     def _apply(self, write: Write, operation_id: str) -> None:
         if not write.check_only:
-            self.by_key[write.key] += 1
+            self.write_counts[write.key] += 1
         super()._apply(write, operation_id)
 
 
@@ -214,19 +220,21 @@
 ) -> list[_Figure]:
     report = trainer.report
     samples = sum(report.samples.values())
-    delivered = sum(len(one.token_ids) for step in trainer.samples.values() for one in step)
+    delivered = sum(len(sample.token_ids) for step in trainer.samples.values() for sample in step)
     generated = sum(core.rollouts.tokens.generated for core in world.daemons.values())
-    # The first step has nothing to hide its generation behind.
+    # The generation of the first step cannot overlap with training.
     idle_s = sum(report.step_idle_s[1:])
     busy_s = scale.train_s * (scale.steps - 1)
-    ages = sorted(report.staleness_versions)
-    train_ages = sorted(report.train_staleness_versions)
+    staleness = sorted(report.staleness_versions)
+    train_staleness = sorted(report.train_staleness_versions)
     return [
         _Figure(name="trainer_idle_ratio", value=idle_s / (idle_s + busy_s), unit="ratio"),
-        _Figure(name="staleness_median", value=_quantile(ages, 0.5), unit="versions"),
-        _Figure(name="staleness_p95", value=_quantile(ages, 0.95), unit="versions"),
-        _Figure(name="staleness_mean", value=sum(ages) / len(ages), unit="versions"),
-        _Figure(name="train_staleness_p95", value=_quantile(train_ages, 0.95), unit="versions"),
+        _Figure(name="staleness_median", value=_quantile(staleness, 0.5), unit="versions"),
+        _Figure(name="staleness_p95", value=_quantile(staleness, 0.95), unit="versions"),
+        _Figure(name="staleness_mean", value=sum(staleness) / len(staleness), unit="versions"),
+        _Figure(
+            name="train_staleness_p95", value=_quantile(train_staleness, 0.95), unit="versions"
+        ),
         _Figure(name="wasted_tokens", value=1.0 - delivered / generated, unit="ratio"),
         _Figure(name="step_wait_max", value=max(report.step_idle_s), unit="s"),
         _Figure(name="table_writes_per_sample", value=writes / samples, unit="writes"),
@@ -242,8 +250,8 @@
     ]
 
 
-def _quantile(values: Sequence[int], share: float) -> float:
-    return float(values[math.ceil(share * len(values)) - 1])
+def _quantile(values: Sequence[int], fraction: float) -> float:
+    return float(values[math.ceil(fraction * len(values)) - 1])
 
 
 _BOUNDS = {
@@ -256,12 +264,12 @@
 }
 
 
-def _as_measurement(
-    user: _User, policy: _Policy, figure: _Figure, is_users_size: bool
+def _to_measurement(
+    user: _User, policy: _Policy, figure: _Figure, is_full_size: bool
 ) -> Measurement:
     is_full = policy.name == "full"
     bound = figure.bound
-    if is_full and is_users_size:
+    if is_full and is_full_size:
         bound = _BOUNDS.get((user.name, figure.name), bound)
     return Measurement(
         bench=_BENCH,
--- a/bench/rollout_baseline.py
+++ b/bench/rollout_baseline.py
@@ -1,4 +1,4 @@
-"""A generator without any policy: engines in turn, for comparison."""
+"""A round-robin generator without routing policy, as the baseline of the rollout bench."""
 
 from collections.abc import AsyncGenerator
 
@@ -16,17 +16,17 @@
 
 __all__ = ["RoundRobinGenerator"]
 
-_RETRY_S = 0.5
+_RETRY_DELAY_S = 0.5
 
 
 class RoundRobinGenerator:
-    """Gives each request to the next engine in turn; implements the Generator port.
+    """Sends each request to the next engine in turn; implements the Generator port.
 
     Args:
-        fleet: The view of the engines.
+        fleet: View of the engines.
         clients: Clients of the engines.
         clock: Time source.
-        slots_per_engine: How many requests each engine gets at once.
+        slots_per_engine: Maximum number of concurrent requests per engine, on average.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         self._running = 0
 
     def free_slots(self, pool: str) -> int:
-        """Return how many more requests may start."""
+        """Return how many more requests may start in a pool."""
         engines = self._fleet.group(BackendKind.ENGINE, pool)
         return max(0, self._slots_per_engine * len(engines) - self._running)
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Stream the answer of the next engine in turn; start anew on an error."""
+        """Stream the answer of the next engine; on an error, start over on the one after it."""
         self._running += 1
         try:
             while True:
@@ -65,6 +65,6 @@
                         yield event
                     return
                 except VerbenawindError:
-                    await self._clock.sleep(_RETRY_S)
+                    await self._clock.sleep(_RETRY_DELAY_S)
         finally:
             self._running -= 1
--- a/bench/routing_harness.py
+++ b/bench/routing_harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher over stand-in engines on virtual time, with the policy that a bench sets."""
+"""A dispatcher with a given policy over stand-in engines, in virtual time."""
 
 import asyncio
 import logging
@@ -25,21 +25,21 @@
 from verbenawind.standins.network import Process
 from verbenawind.standins.world import World
 
-__all__ = ["Answer", "FixedPeers", "Rig", "quiet_logs"]
+__all__ = ["FixedPeers", "RequestResult", "RoutingHarness", "disable_logs"]
 
 _TOKEN = "0" * 64
-_WARM_UP_S = 1.0
+_WARM_UP_TIME_S = 1.0
 _PROBE_PERIOD_S = 0.25
-_SUSPECT_S = 1.0
+_SUSPICION_S = 1.0
 
 
-def quiet_logs() -> None:
-    """Drop log lines; a bench counts, it does not explain."""
+def disable_logs() -> None:
+    """Drop log lines below critical, which the benches do not need."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
 
 class FixedPeers:
-    """A peer bus whose peers are given and never answer; implements PeerBus."""
+    """A peer bus with fixed peers that never respond; implements PeerBus."""
 
     def __init__(self, peer_id: str = "daemon-0", peers: Sequence[Peer] = ()) -> None:
         self.peer_id = peer_id
@@ -47,24 +47,24 @@
         self._listeners: dict[str, list[Callable[[SpreadItem], None]]] = {}
 
     def peers(self) -> Sequence[Peer]:
-        """Return the given peers."""
+        """Return the fixed peers."""
         return self._peers
 
     def spread(self, item: SpreadItem) -> None:
-        """Tell this daemon's listeners."""
+        """Call the local listeners only."""
         for listener in self._listeners.get(item.kind, ()):
             listener(item)
 
     def items(self, kind: str) -> Sequence[SpreadItem]:
-        """Return nothing; items are not kept."""
+        """Return no items; none are stored."""
         return ()
 
     def on_item(self, kind: str, listener: Callable[[SpreadItem], None]) -> None:
-        """Remember a listener."""
+        """Register a local listener."""
         self._listeners.setdefault(kind, []).append(listener)
 
     def on_call(self, kind: str, handler: Callable[[bytes], Awaitable[bytes]]) -> None:
-        """Do nothing: nobody calls."""
+        """Do nothing, since no peer calls."""
 
     async def call(self, peer_id: str, kind: str, body: bytes, timeout_s: float) -> bytes:
         """Raise PeerUnreachable."""
@@ -72,14 +72,14 @@
 
 
 class _FixedConfiguration:
-    """One document in force; implements Configuration."""
+    """A configuration of one document that never changes; implements Configuration."""
 
     def __init__(self, world: World, document: EnvironmentDocument) -> None:
         self._document = document
         self._clock = world.clock
 
     def current(self, environment: str, stage: str) -> EnvironmentRevision:
-        """Return the document as a revision."""
+        """Return the document as revision 1."""
         return EnvironmentRevision(
             environment=environment,
             stage="production",  # type: ignore[arg-type]
@@ -90,42 +90,42 @@
         )
 
     def environments(self) -> Sequence[EnvironmentRevision]:
-        """Return the one revision."""
+        """Return the only revision."""
         return (self.current("bench", "production"),)
 
     def subscribe(self, listener: Callable[[EnvironmentRevision], None]) -> None:
-        """Do nothing: nothing changes."""
+        """Do nothing, since the document never changes."""
 
 
-class Answer:
-    """What became of one request; times are on the virtual clock, in seconds."""
+class RequestResult:
+    """The outcome of one request; times are of the virtual clock, in seconds."""
 
-    __slots__ = ("asked_at_s", "ended_at_s", "error", "first_at_s", "kind", "tokens")
+    __slots__ = ("ended_at_s", "error", "first_token_at_s", "kind", "sent_at_s", "tokens")
 
-    def __init__(self, kind: WorkKind, asked_at_s: float) -> None:
+    def __init__(self, kind: WorkKind, sent_at_s: float) -> None:
         self.kind = kind
-        self.asked_at_s = asked_at_s
-        self.first_at_s: float | None = None
+        self.sent_at_s = sent_at_s
+        self.first_token_at_s: float | None = None
         self.ended_at_s: float | None = None
         self.error: VerbenawindError | None = None
         self.tokens = 0
 
     @property
-    def whole(self) -> bool:
-        """Whether the whole answer came."""
+    def complete(self) -> bool:
+        """Whether the answer ended without an error."""
         return self.ended_at_s is not None
 
 
-class Rig:
-    """One dispatcher over a pool of stand-in engines; make it inside a virtual-time loop.
+class RoutingHarness:
+    """A dispatcher over a pool of stand-in engines; create it inside a virtual-time loop.
 
     Args:
         seed: Seed of all randomness.
-        policy: The mechanisms in force.
+        policy: Enabled routing mechanisms.
         engines: Number of engines; they alternate between the regions.
-        profile: Their speed and limits.
-        regions: One zone is made for each; the daemon runs in the first.
-        price_per_gib: Price of bytes between regions.
+        profile: Speed and limits of the engines.
+        regions: Regions, with one zone each; the daemon runs in the first.
+        price_per_gib: Price of cross-region traffic.
     """
 
     def __init__(
@@ -164,19 +164,19 @@
             metrics=Metrics(),
             policy=policy,
         )
-        self.answers: list[Answer] = []
-        self._tasks: set[asyncio.Task[Answer]] = set()
-        self._watching: asyncio.Task[None] | None = None
-        self._number = 0
+        self.results: list[RequestResult] = []
+        self._tasks: set[asyncio.Task[RequestResult]] = set()
+        self._probing_task: asyncio.Task[None] | None = None
+        self._request_count = 0
 
     async def start(self) -> None:
-        """Begin to watch the engines."""
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
-        await asyncio.sleep(_WARM_UP_S)
+        """Start probing the engines and wait until they are known."""
+        self._probing_task = asyncio.get_running_loop().create_task(self._probe_engines())
+        await asyncio.sleep(_WARM_UP_TIME_S)
 
     async def stop(self) -> None:
-        """Cancel everything."""
-        for task in [*self._tasks, *([self._watching] if self._watching else [])]:
+        """Cancel all requests and stop the world."""
+        for task in [*self._tasks, *([self._probing_task] if self._probing_task else [])]:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.world.stop()
@@ -189,24 +189,24 @@
         timeout_s: float = 5.0,
         caller: str = "desk",
         max_tokens: int = 64,
-    ) -> "asyncio.Task[Answer]":
-        """Send one request and keep its answer."""
-        self._number += 1
-        answer = Answer(kind, self.world.clock.monotonic_s())
+    ) -> "asyncio.Task[RequestResult]":
+        """Send a request and record its result in ``results``."""
+        self._request_count += 1
+        result = RequestResult(kind, self.world.clock.monotonic_s())
         request = GenerateRequest(
-            request_id=f"r{self._number}",
+            request_id=f"r{self._request_count}",
             environment="bench/production",
             caller=caller,
             kind=kind,
             model="tuner",
             pool="tuning",
-            prompt=prompt or f"prompt {self._number}",
+            prompt=prompt or f"prompt {self._request_count}",
             max_tokens=max_tokens,
-            seed=self._number,
-            deadline_s=answer.asked_at_s + timeout_s,
+            seed=self._request_count,
+            deadline_s=result.sent_at_s + timeout_s,
         )
-        self.answers.append(answer)
-        task = asyncio.get_running_loop().create_task(self._run(request, answer))
+        self.results.append(result)
+        task = asyncio.get_running_loop().create_task(self._run(request, result))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -214,31 +214,31 @@
     async def open_loop(
         self, rate_per_s: float, duration_s: float, send: Callable[[], object]
     ) -> None:
-        """Send at random times of a steady mean rate."""
+        """Send at random times with a constant mean rate, independent of the answers."""
         clock = self.world.clock
-        ends_at_s = clock.monotonic_s() + duration_s
-        while clock.monotonic_s() < ends_at_s:
+        end_s = clock.monotonic_s() + duration_s
+        while clock.monotonic_s() < end_s:
             send()
             await clock.sleep(self.rng.expovariate(rate_per_s))
 
-    async def closed_loop(self, width: int, duration_s: float, kind: WorkKind) -> None:
-        """Keep *width* requests in flight."""
-        ends_at_s = self.world.clock.monotonic_s() + duration_s
+    async def closed_loop(self, concurrency: int, duration_s: float, kind: WorkKind) -> None:
+        """Keep *concurrency* requests in flight."""
+        end_s = self.world.clock.monotonic_s() + duration_s
 
-        async def one() -> None:
-            while self.world.clock.monotonic_s() < ends_at_s:
-                answer = await self.send(kind, timeout_s=600.0, caller="trainer")
-                if answer.error is not None:
+        async def send_repeatedly() -> None:
+            while self.world.clock.monotonic_s() < end_s:
+                result = await self.send(kind, timeout_s=600.0, caller="trainer")
+                if result.error is not None:
                     await asyncio.sleep(0.5)
 
-        await asyncio.gather(*(one() for _ in range(width)))
+        await asyncio.gather(*(send_repeatedly() for _ in range(concurrency)))
 
-    async def settle(self) -> None:
-        """Wait until every request has ended."""
+    async def wait_for_all(self) -> None:
+        """Wait until all requests have ended."""
         while self._tasks:
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _watch(self) -> None:
+    async def _probe_engines(self) -> None:
         for host in await self._outside.hosts.hosts():
             self._fleet.add(
                 BackendServer(
@@ -257,24 +257,24 @@
         try:
             self._fleet.observe(await self._outside.clients.engine(view.server).status())
         except VerbenawindError:
-            self._fleet.suspect(view.server.server_id, _SUSPECT_S)
+            self._fleet.suspect(view.server.server_id, _SUSPICION_S)
 
-    async def _run(self, request: GenerateRequest, answer: Answer) -> Answer:
+    async def _run(self, request: GenerateRequest, result: RequestResult) -> RequestResult:
         clock = self.world.clock
         try:
             async for event in self.dispatcher.generate(request):
-                self._note(answer, event)
+                self._record_event(result, event)
         except VerbenawindError as error:
-            answer.error = error
+            result.error = error
         else:
-            answer.ended_at_s = clock.monotonic_s()
-        return answer
+            result.ended_at_s = clock.monotonic_s()
+        return result
 
-    def _note(self, answer: Answer, event: EngineEvent) -> None:
-        if answer.first_at_s is None:
-            answer.first_at_s = self.world.clock.monotonic_s()
+    def _record_event(self, result: RequestResult, event: EngineEvent) -> None:
+        if result.first_token_at_s is None:
+            result.first_token_at_s = self.world.clock.monotonic_s()
         if not isinstance(event, GenerationEnded):
-            answer.tokens += len(event.token_ids)
+            result.tokens += len(event.token_ids)
 
 
 def _document(price_per_gib: float) -> EnvironmentDocument:
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,4 +1,4 @@
-"""What daemons ask of the table service at rest, at a restart of all and after an outage."""
+"""Load of the daemons on the table service when idle, after a full restart and an outage."""
 
 import asyncio
 from collections import Counter
@@ -26,14 +26,14 @@
   "trainers": [{"name": "folders", "caller": "plant", "model": "tuner"}]
 }
 """)
-_DAEMONS_OF_LETTER = 420
-_READS_PER_S = 2000.0
-_WRITES_PER_S = 300.0
-_SHARE = 0.5
+_REQUIRED_DAEMONS = 420
+_READ_CAPACITY_PER_S = 2000.0
+_WRITE_CAPACITY_PER_S = 300.0
+_MAX_LOAD_FRACTION = 0.5
 
 
-class _Second:
-    """Counts calls by second and by the part of the table that they touch."""
+class _TableCallCounter:
+    """Counts the calls to the table per second, and its reads by key prefix."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -47,52 +47,54 @@
         world.table.commit = self._counted_commit  # type: ignore[method-assign]
 
     def clear(self) -> None:
-        """Begin to count anew."""
+        """Discard the counts so far."""
         for counter in (self.reads, self.writes):
             counter.clear()
         self.reads_by_prefix.clear()
 
-    def _note(self, counter: Counter[int]) -> None:
+    def _count_call(self, counter: Counter[int]) -> None:
         counter[int(self._world.clock.monotonic_s())] += 1
 
     async def _counted_read(self, keys):  # type: ignore[no-untyped-def]
-        self._note(self.reads)
+        self._count_call(self.reads)
         self.reads_by_prefix[keys[0].partition("/")[0] if keys else ""] += 1
         return await self._read(keys)
 
     async def _counted_scan(self, prefix, **options):  # type: ignore[no-untyped-def]
-        self._note(self.reads)
+        self._count_call(self.reads)
         self.reads_by_prefix[prefix.partition("/")[0]] += 1
         return await self._scan(prefix, **options)
 
     async def _counted_commit(self, transaction):  # type: ignore[no-untyped-def]
-        self._note(self.writes)
+        self._count_call(self.writes)
         await self._commit(transaction)
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the figures of one run."""
+    """Return the load by number of daemons and its extrapolation to the required number."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     sizes = (6, 24) if short else (6, 12, 24, 48)
     figures: list[Measurement] = []
-    worst: dict[str, dict[int, float]] = {}
+    rates_by_size: dict[str, dict[int, float]] = {}
     for size in sizes:
         result = run_virtual(_measure(seed, size, 30.0 if short else 120.0))
         for figure, value in result.items():
-            figures.append(_figure(figure, f"{size} daemons", value))
-            worst.setdefault(figure, {})[size] = value
-    for figure, values in worst.items():
+            figures.append(_measurement(figure, f"{size} daemons", value))
+            rates_by_size.setdefault(figure, {})[size] = value
+    for figure, values in rates_by_size.items():
         if not figure.startswith(("reads", "writes")):
             continue
         low, high = min(values), max(values)
         slope = max(0.0, (values[high] - values[low]) / (high - low))
-        total = values[low] + slope * (_DAEMONS_OF_LETTER - low)
-        bound = _SHARE * (_READS_PER_S if figure.startswith("reads") else _WRITES_PER_S)
+        total = values[low] + slope * (_REQUIRED_DAEMONS - low)
+        bound = _MAX_LOAD_FRACTION * (
+            _READ_CAPACITY_PER_S if figure.startswith("reads") else _WRITE_CAPACITY_PER_S
+        )
         figures.append(
             Measurement(
                 bench=_BENCH,
                 figure=figure,
-                variant=f"extrapolated to {_DAEMONS_OF_LETTER} daemons",
+                variant=f"extrapolated to {_REQUIRED_DAEMONS} daemons",
                 value=total,
                 unit="1/s",
                 better=Better.LOWER,
@@ -107,33 +109,33 @@
     world = World(seed)
     for index in range(6):
         world.add_engine(f"engine-{index}", "tuning", {"tuner": 0}, zone_index=index)
-    seconds = _Second(world)
+    calls = _TableCallCounter(world)
     cores = await _start_all(world, size)
     await asyncio.sleep(5.0)
     await world.accept(_DOCUMENT)
     await asyncio.sleep(20.0)
-    seconds.clear()
+    calls.clear()
     await asyncio.sleep(duration_s)
     result = {
-        "reads at rest": sum(seconds.reads.values()) / duration_s,
-        "writes at rest": sum(seconds.writes.values()) / duration_s,
+        "reads at rest": sum(calls.reads.values()) / duration_s,
+        "writes at rest": sum(calls.writes.values()) / duration_s,
     }
     for prefix in ("config", "lease"):
-        share = seconds.reads_by_prefix[prefix] / duration_s
-        result[f"reads at rest of {prefix} rows"] = share
-    seconds.clear()
+        rate = calls.reads_by_prefix[prefix] / duration_s
+        result[f"reads at rest of {prefix} rows"] = rate
+    calls.clear()
     await asyncio.gather(*(core.kill() for core in cores))
     cores = await _start_all(world, size)
     await asyncio.sleep(duration_s)
-    result["reads in the worst second of a restart of all"] = _most(seconds.reads)
-    result["writes in the worst second of a restart of all"] = _most(seconds.writes)
+    result["reads in the worst second of a restart of all"] = _peak(calls.reads)
+    result["writes in the worst second of a restart of all"] = _peak(calls.writes)
     world.table.faults.down = True
     await asyncio.sleep(duration_s)
     world.table.faults.down = False
-    seconds.clear()
+    calls.clear()
     await asyncio.sleep(duration_s)
-    result["reads in the worst second after an outage"] = _most(seconds.reads)
-    result["writes in the worst second after an outage"] = _most(seconds.writes)
+    result["reads in the worst second after an outage"] = _peak(calls.reads)
+    result["writes in the worst second after an outage"] = _peak(calls.writes)
     await world.stop()
     return result
 
@@ -144,11 +146,11 @@
     return cores
 
 
-def _most(counter: Counter[int]) -> float:
+def _peak(counter: Counter[int]) -> float:
     return float(max(counter.values(), default=0))
 
 
-def _figure(figure: str, variant: str, value: float) -> Measurement:
+def _measurement(figure: str, variant: str, value: float) -> Measurement:
     return Measurement(
         bench=_BENCH,
         figure=figure,
--- a/bench/streaming.py
+++ b/bench/streaming.py
@@ -1,7 +1,7 @@
-"""Processor time of one streamed event: the HTTP server alone, the callers' way, an engine's way.
+"""Processor time per streamed event: HTTP server, callers' interface and engine adapter.
 
-The three are run one after the other in one process, each with the same number of streams and
-events, so that their ratios hold on any machine. The time of the reading client is in all of them.
+The three paths run one after another in one process with equal numbers of streams and events, so
+that their ratios are comparable across machines. Each includes the time of the reading client.
 """
 
 import asyncio
@@ -39,18 +39,18 @@
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the processor time of an event in each way, and the ratios."""
+    """Return the processor time per event of each path, and its ratio to the server alone."""
     streams, events = (_SHORT_STREAMS, _SHORT_EVENTS) if short else (_STREAMS, _EVENTS)
-    seconds = asyncio.run(_measure(streams, events))
-    per_event_us = {way: value / (streams * events) * 1e6 for way, value in seconds.items()}
+    cpu_s_by_path = asyncio.run(_measure(streams, events))
+    per_event_us = {path: value / (streams * events) * 1e6 for path, value in cpu_s_by_path.items()}
     return [
         measurement
-        for way, value in per_event_us.items()
+        for path, value in per_event_us.items()
         for measurement in (
-            _measurement(way, "processor time per event", value, "us"),
-            _measurement(way, "ratio to the server alone", value / per_event_us[_SERVER], "x"),
+            _measurement(path, "processor time per event", value, "us"),
+            _measurement(path, "ratio to the server alone", value / per_event_us[_SERVER], "x"),
             _measurement(
-                way,
+                path,
                 f"tokens per second of one core, {_TOKENS_PER_EVENT} an event",
                 _TOKENS_PER_EVENT * 1e6 / value,
                 "1/s",
@@ -61,55 +61,59 @@
 
 
 def _measurement(
-    way: str, figure: str, value: float, unit: str, better: Better = Better.LOWER
+    path: str, figure: str, value: float, unit: str, better: Better = Better.LOWER
 ) -> Measurement:
     return Measurement(
         bench=_BENCH,
         figure=figure,
-        variant=way,
+        variant=path,
         value=round(value, 3),
         unit=unit,
         better=better,
-        baseline_variant=None if way == _SERVER else _SERVER,
+        baseline_variant=None if path == _SERVER else _SERVER,
     )
 
 
 async def _measure(streams: int, events: int) -> dict[str, float]:
-    seconds = {}
-    for way, application in (
-        (_SERVER, _bare_application(events)),
+    cpu_s_by_path = {}
+    for path, application in (
+        (_SERVER, _server_application(events)),
         (_CALLERS, _callers_application(events)),
     ):
-        seconds[way] = await _served(application, lambda address: _read(address, streams))
+        cpu_s_by_path[path] = await _measure_cpu_s(
+            application, lambda address: _read_streams(address, streams)
+        )
     engine = _engine_application(events)
-    seconds[_ENGINE] = await _served(engine, lambda address: _generate(address, streams))
-    return seconds
+    cpu_s_by_path[_ENGINE] = await _measure_cpu_s(
+        engine, lambda address: _generate_streams(address, streams)
+    )
+    return cpu_s_by_path
 
 
-async def _served(application: Any, use: Callable[[str], Awaitable[None]]) -> float:
+async def _measure_cpu_s(application: Any, run_client: Callable[[str], Awaitable[None]]) -> float:
     server = HttpServer(application, "127.0.0.1", 0)
     await server.start()
     started_s = time.process_time()
-    await use(server.address)
+    await run_client(server.address)
     used_s = time.process_time() - started_s
     await server.stop()
     return used_s
 
 
-async def _read(address: str, streams: int) -> None:
+async def _read_streams(address: str, streams: int) -> None:
     host, port = address.split(":")
 
-    async def one() -> None:
+    async def read_stream() -> None:
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(_REQUEST)
         answer = await reader.read()
         writer.close()
         assert answer.endswith(b"0\r\n\r\n")
 
-    await asyncio.gather(*(one() for _ in range(streams)))
+    await asyncio.gather(*(read_stream() for _ in range(streams)))
 
 
-async def _generate(address: str, streams: int) -> None:
+async def _generate_streams(address: str, streams: int) -> None:
     location = Location(zone="a", region="a")
     server = BackendServer(
         server_id="engine-0",
@@ -120,14 +124,14 @@
     )
     client = HttpEngineClient(server)
 
-    async def one(number: int) -> None:
+    async def read_stream(number: int) -> None:
         attempt = GenerationAttempt(
             attempt_id="a", request_id=f"r{number}", model="m", prompt="p", max_tokens=1, seed=1
         )
         async for _ in client.generate(attempt):
             pass
 
-    await asyncio.gather(*(one(number) for number in range(streams)))
+    await asyncio.gather(*(read_stream(number) for number in range(streams)))
     await client.aclose()
 
 
@@ -158,19 +162,19 @@
     return application
 
 
-def _bare_application(events: int) -> Any:
+def _server_application(events: int) -> Any:
     form = AnswerForm("req-1", "model", 0, chat=True, include_usage=False)
-    return _sending([form.token_chunk(_TEXT)] * events)
+    return _chunk_application([form.token_chunk(_TEXT)] * events)
 
 
 def _engine_application(events: int) -> Any:
     sent: list[EngineEvent] = [_tokens(index) for index in range(events)]
     sent.append(_ended(events))
     payloads = [msgspec.json.encode(chunk_payload(event, "m")) for event in sent]
-    return _sending([b"data: " + data + b"\n\n" for data in (*payloads, b"[DONE]")])
+    return _chunk_application([b"data: " + data + b"\n\n" for data in (*payloads, b"[DONE]")])
 
 
-def _sending(chunks: Sequence[bytes]) -> Any:
+def _chunk_application(chunks: Sequence[bytes]) -> Any:
     async def application(_scope: Any, _receive: Any, send: Any) -> None:
         await send({"type": "http.response.start", "status": 200, "headers": _HEADERS})
         for chunk in chunks:
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -1,8 +1,8 @@
-"""How fast new weights reach all engines of a zone, and what an order costs a daemon.
+"""The time to bring new weights to all engines of a zone, and the processor time of an order.
 
-Virtual time shows the policy: the time from the activation until the last engine has the
-version, against the number of engines. Real time shows the cost: processor time of an order over
-loopback HTTP, with the stand-in engine's share in it.
+The first is measured in virtual time, from the activation time until the last engine has swapped,
+by number of engines. The second is measured in real time over loopback HTTP and includes the
+stand-in engine, which runs in the same process.
 """
 
 import asyncio
@@ -30,13 +30,13 @@
 __all__ = ["run"]
 
 _BENCH = "weights"
-_BOUND_S = 9.0
+_MAX_ACTIVATION_S = 9.0
 _BOUND_SOURCE = "letter 1: new weights on all engines within 9 s"
 _ACTIVATION_DELAY_S = 20.0
 _DAEMONS = 4
-_POLL_S = 0.05
-_LIMIT_S = 120.0
-_SETTLE_S = 15.0
+_POLL_INTERVAL_S = 0.05
+_TIMEOUT_S = 120.0
+_SETTLE_TIME_S = 15.0
 _DOCUMENT = """
 {
   "environment": "bench",
@@ -48,7 +48,7 @@
 
 
 def run(seed: int, short: bool) -> Sequence[Measurement]:
-    """Return the times and costs of bringing a zone to a new version."""
+    """Return the activation times by number of engines, and the cost of an order."""
     sizes = (7, 54, 218) if short else (7, 54, 218, 870)
     measurements: list[Measurement] = []
     for engines in sizes:
@@ -62,7 +62,7 @@
                     value=activation_s,
                     unit="s",
                     better=Better.LOWER,
-                    bound=_BOUND_S,
+                    bound=_MAX_ACTIVATION_S,
                     bound_source=_BOUND_SOURCE,
                 )
             )
@@ -81,7 +81,7 @@
 
 
 async def _activation_s(seed: int, engines: int, fraction: float) -> float:
-    """Return the virtual seconds from the activation time until all engines have swapped."""
+    """Return the time from the activation time until all engines have swapped."""
     world = World(seed, regions=("bangkok",))
     for index in range(engines):
         world.add_engine(f"engine-{index:04}", "pool", {"model": 0})
@@ -90,16 +90,16 @@
         await core.start()
     text = _DOCUMENT % {"fraction": fraction, "delay": _ACTIVATION_DELAY_S}
     revision = await world.accept(parse_document(text))
-    await asyncio.sleep(_SETTLE_S)
+    await asyncio.sleep(_SETTLE_TIME_S)
     await _publish(world, revision)
     activation_at_s = world.clock.monotonic_s() + _ACTIVATION_DELAY_S
     while any(engine.active_version("model") != 1 for engine in world.engines.values()):
-        if world.clock.monotonic_s() > activation_at_s + _LIMIT_S:
+        if world.clock.monotonic_s() > activation_at_s + _TIMEOUT_S:
             break
-        await asyncio.sleep(_POLL_S)
-    took_s = world.clock.monotonic_s() - activation_at_s
+        await asyncio.sleep(_POLL_INTERVAL_S)
+    elapsed_s = world.clock.monotonic_s() - activation_at_s
     await world.stop()
-    return took_s
+    return elapsed_s
 
 
 async def _publish(world: World, revision: EnvironmentRevision) -> None:
@@ -110,7 +110,7 @@
 
 
 async def _order_cpu_s(seed: int, orders: int) -> float:
-    """Return the processor seconds of one order that an engine has nothing left to do for."""
+    """Return the processor time of an order for the version that the engine already has."""
     engine = StandinEngine("engine", {"model": 1}, SystemClock(), Random(seed))
     server = HttpServer(engine_app(engine), "127.0.0.1", 0)
     await server.start()
