--- a/bench/routing.py
+++ b/bench/routing.py
@@ -324,7 +324,7 @@
     location = Location(zone="bangkok-a", region="bangkok")
     fleet = Fleet(SystemClock(), location)
     for index in range(engines):
-        _observe_engine(fleet, f"engine-{index}", location)
+        _add_engine(fleet, f"engine-{index}", location)
     daemons = max(1, engines * 60 // 870)
     peers = [
         Peer(peer_id=f"daemon-{index}", address="127.0.0.1:1", location=location, incarnation=1)
@@ -349,7 +349,7 @@
     return (time.perf_counter() - started_s) / decisions, considered / decisions
 
 
-def _observe_engine(fleet: Fleet, server_id: str, location: Location) -> None:
+def _add_engine(fleet: Fleet, server_id: str, location: Location) -> None:
     fleet.add(
         BackendServer(
             server_id=server_id,
