--- a/bench/membership.py
+++ b/bench/membership.py
@@ -201,7 +201,7 @@
 
 
 async def _detection_times(seed: int, sizes: Sequence[int]) -> tuple[float, float, float, float]:
-    """Return how long a crash, a silence, a leave and a revision take to be known."""
+    """Return the times until a crash, a paused process, a departure and a revision are known."""
     rng = Random(seed)
     clock = LoopClock(datetime(2026, 1, 1, tzinfo=UTC))
     network = StandinNetwork(clock, rng)
--- a/tests/bench/test_results.py
+++ b/tests/bench/test_results.py
@@ -10,7 +10,7 @@
 
 
 def sample_bench(seed: int, short: bool) -> list[Measurement]:
-    """Return two variants whose values depend on the seed."""
+    """Return two variants with values proportional to the seed."""
     return [
         Measurement(
             bench="sample",
@@ -28,20 +28,20 @@
 
 
 def broken_bench(seed: int, short: bool) -> list[Measurement]:
-    """Fail."""
+    """Raise ValueError."""
     raise ValueError("no engine")
 
 
 class TestResults:
     def test_ratio_is_to_the_baseline_of_the_same_run(self) -> None:
-        """Repeats with other absolute values keep the ratio, and a broken bound shows."""
+        """The ratio does not depend on the absolute values, and a missed bound is reported."""
         results = run_all({"sample": sample_bench}, 1, 2, short=True, budget_s=60.0)
         plain, clever = figures_of(results.runs)
         assert (plain.ratio, clever.ratio) == (None, 0.5)
         assert (plain.within_bound, clever.within_bound) == (False, True)
 
     def test_failure_is_reported(self, tmp_path: Path) -> None:
-        """A bench that fails is named with its cause, and the others are still measured."""
+        """A failed bench is reported with its cause, and the other benches still run."""
         benches = {"broken": broken_bench, "sample": sample_bench}
         results = run_all(benches, 1, 1, short=True, budget_s=60.0)
         write_results(tmp_path / "r.json", results)
@@ -49,9 +49,9 @@
         assert "**failed**: broken (seed 1): ValueError: no engine" in report
         assert "| idle | clever | 1 s |" in report
 
-    def test_change_within_the_noise_is_no_verdict(self) -> None:
-        """A change smaller than both files' noise is called so, a larger one is judged."""
-        noisy = run_all({"sample": sample_bench}, 2, 2, short=True, budget_s=60.0)
-        far = run_all({"sample": sample_bench}, 40, 2, short=True, budget_s=60.0)
-        assert "within noise" in "\n".join(compare(noisy, noisy))
-        assert "| worse |" in "\n".join(compare(noisy, far))
+    def test_change_within_noise_has_no_verdict(self) -> None:
+        """A change within the noise of both files has no verdict, a larger one has."""
+        first = run_all({"sample": sample_bench}, 2, 2, short=True, budget_s=60.0)
+        slower = run_all({"sample": sample_bench}, 40, 2, short=True, budget_s=60.0)
+        assert "within noise" in "\n".join(compare(first, first))
+        assert "| worse |" in "\n".join(compare(first, slower))
