--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, scene, step_of
+from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_scene, step_of
 from verbenawind.standins.engine import CRASH_MARK
 from verbenawind.standins.scene import with_weights
 
@@ -37,7 +37,7 @@
         """Start three daemons."""
 
         async def start() -> None:
-            self.scene = scene(seed)
+            self.scene = make_scene(seed)
             await self.scene.start()
 
         self._runner.run(start())
--- a/tests/fuzz/scenes.py
+++ b/tests/fuzz/scenes.py
@@ -32,7 +32,7 @@
 SERVICES = 2
 
 
-def scene(seed: int) -> Scene:
+def make_scene(seed: int) -> Scene:
     """Return an unstarted scene of three zones, four engines and two service hosts."""
     unstarted = Scene(seed, DOCUMENT)
     for index in range(ENGINES):
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -1,6 +1,6 @@
 """Regression tests reduced from failures that fuzzing found."""
 
-from fuzz.scenes import DOCUMENT, scene, step_of
+from fuzz.scenes import DOCUMENT, make_scene, step_of
 from verbenawind.standins.engine import CRASH_MARK
 from verbenawind.standins.scene import with_weights
 from verbenawind.standins.world import run_virtual
@@ -11,7 +11,7 @@
         """A step submitted after a document change completes."""
 
         async def scenario() -> None:
-            running_scene = scene(1)
+            running_scene = make_scene(1)
             await running_scene.start()
             assert await running_scene.accept(1, with_weights(DOCUMENT, 2.0))
             await running_scene.clock.sleep(5.0)
@@ -26,7 +26,7 @@
         """A request refused for lack of a server, after it reached an engine, may have run."""
 
         async def scenario() -> None:
-            running_scene = scene(1)
+            running_scene = make_scene(1)
             await running_scene.start()
             running_scene.leave("engine-1")
             running_scene.leave("engine-2")
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from fuzz.scenes import DOCUMENT, scene, step_of
+from fuzz.scenes import DOCUMENT, make_scene, step_of
 from verbenawind.errors import Outcome, StreamTruncated
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import EngineEvent, TokensGenerated
@@ -317,7 +317,7 @@
     """Run a scenario and return the promises that it violated."""
 
     async def run() -> set[Promise]:
-        running_scene = scene(1)
+        running_scene = make_scene(1)
         await running_scene.start()
         try:
             await scenario(running_scene)
--- a/tests/traces/test_recorder.py
+++ b/tests/traces/test_recorder.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fuzz.scenes import scene, step_of
+from fuzz.scenes import make_scene, step_of
 from verbenawind.errors import InvalidRequest
 from verbenawind.kernel.messages import GenerateRequest, WorkKind
 from verbenawind.standins.world import run_virtual
@@ -19,7 +19,7 @@
         path = tmp_path / "live.jsonl"
 
         async def serve() -> None:
-            simulation = scene(1)
+            simulation = make_scene(1)
             await simulation.start()
             core = simulation.world.daemons["daemon-0"]
             recording = LiveRecording(
