--- a/tests/on_platform/scene.py
+++ b/tests/on_platform/harness.py
@@ -50,7 +50,7 @@
     return data
 
 
-class Scene:
+class PlatformHarness:
     """Daemons, a store, an engine pool and a plain service."""
 
     def __init__(self) -> None:
@@ -225,15 +225,17 @@
     ).encode()
 
 
-def run_scene(work: Callable[[Scene], Awaitable[None]], *, daemons: int = 1) -> None:
+def run_with_harness(
+    work: Callable[[PlatformHarness], Awaitable[None]], *, daemons: int = 1
+) -> None:
     """Run *work* with a harness whose daemons are ready."""
 
     async def run_all() -> None:
-        scene = Scene()
+        harness = PlatformHarness()
         try:
-            await scene.start(daemons)
-            await work(scene)
+            await harness.start(daemons)
+            await work(harness)
         finally:
-            await scene.stop()
+            await harness.stop()
 
     asyncio.run(run_all())
--- a/tests/soak/cost.py
+++ b/tests/soak/cost.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from on_platform.scene import HOST, MODEL, Scene
+from on_platform.harness import HOST, MODEL, PlatformHarness
 from on_platform.wire import WireServer, WireStore
 from soak.hosts import SoakHost
 from soak.run import send_raw_request
@@ -71,13 +71,13 @@
 
 
 async def _measure(directory: Path) -> None:
-    scene = Scene()
-    scene.store = store = WireStore()
+    harness = PlatformHarness()
+    harness.store = store = WireStore()
     await store.start()
-    for server in (*scene.engines, *scene.plain):
+    for server in (*harness.engines, *harness.plain):
         await server.start()
-        scene.register(server, "engines" if server in scene.engines else "plain", slots=32)
-    scene.configure()
+        harness.register(server, "engines" if server in harness.engines else "plain", slots=32)
+    harness.configure()
     host = SoakHost("h0", "a", store.address, directory)
     await host.start()
     assert host.process is not None
@@ -99,7 +99,7 @@
         print(json.dumps(figures))
     finally:
         await host.stop()
-        for served in (*scene.engines, *scene.plain, store):
+        for served in (*harness.engines, *harness.plain, store):
             assert isinstance(served, WireServer | WireStore)
             await served.stop()
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from on_platform.scene import HOST, MODEL, Response, Scene
+from on_platform.harness import HOST, MODEL, PlatformHarness, Response
 from on_platform.wire import WireServer, WireStore
 from soak.hosts import SoakHost
 from soak.proxy import FaultyProxy, LinkFault
@@ -109,10 +109,10 @@
 
     def __init__(self, seed: int, hosts: int, engines: int, directory: Path) -> None:
         self._rng = Random(seed)
-        self._scene = Scene()
-        self._scene.store = self.store = WireStore()
-        self._scene.engines = []
-        self._scene.plain = [WireServer("p0"), WireServer("p1")]
+        self._harness = PlatformHarness()
+        self._harness.store = self.store = WireStore()
+        self._harness.engines = []
+        self._harness.plain = [WireServer("p0"), WireServer("p1")]
         self._engines = [_Engine(f"e{index}") for index in range(engines)]
         self._server_links: list[FaultyProxy] = []
         self._directory = directory
@@ -143,19 +143,19 @@
         finally:
             for host in self.hosts:
                 await host.stop()
-            for endpoint in (*self._engines, *self._scene.plain, self.store, *self._server_links):
+            for endpoint in (*self._engines, *self._harness.plain, self.store, *self._server_links):
                 await endpoint.stop()
 
     async def _start(self) -> None:
         await self.store.start()
-        for server in (*self._engines, *self._scene.plain):
+        for server in (*self._engines, *self._harness.plain):
             await server.start()
             link = FaultyProxy(server.address)
             await link.start()
             self._server_links.append(link)
             service = "engines" if server in self._engines else "plain"
-            self._scene.register(server, service, address=link.address)
-        self._scene.configure()
+            self._harness.register(server, service, address=link.address)
+        self._harness.configure()
         zones = ("a", "b")
         for index in range(self._host_count):
             zone = zones[index % len(zones)]
@@ -264,7 +264,7 @@
         self.store.put("op", f"version/{MODEL}", {"model": MODEL, "version": newest})
 
     async def _change_configuration(self) -> None:
-        self._scene.configure(version=int(time.monotonic() * 1000))
+        self._harness.configure(version=int(time.monotonic() * 1000))
 
     async def _end_faults(self) -> None:
         self.store.busy, self.store.drop_next = False, 0
@@ -391,7 +391,7 @@
 
     def _check_servers(self) -> None:
         run_counts: dict[str, int] = {}
-        for server in (*self._engines, *self._scene.plain):
+        for server in (*self._engines, *self._harness.plain):
             for _, _, headers, _ in server.seen:
                 request_id = headers["x-verbenawind-attempt-id"]
                 run_counts[request_id] = run_counts.get(request_id, 0) + 1
