--- a/tests/on_platform/harness.py
+++ b/tests/on_platform/harness.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from on_platform.wire import WireServer, WireStore
+from on_platform.stubs import StubServer, StubStore
 from verbenawind.clock import SystemClock
 from verbenawind.kernel.messages import Location
 from verbenawind.platform.daemon import PlatformDaemon
@@ -54,9 +54,9 @@
     """Daemons, a store, an engine pool and a plain service."""
 
     def __init__(self) -> None:
-        self.store = WireStore()
-        self.engines = [WireServer("e0"), WireServer("e1")]
-        self.plain = [WireServer("p0"), WireServer("p1")]
+        self.store = StubStore()
+        self.engines = [StubServer("e0"), StubServer("e1")]
+        self.plain = [StubServer("p0"), StubServer("p1")]
         self.daemons: list[PlatformDaemon] = []
 
     async def start(self, daemons: int = 1) -> None:
@@ -105,7 +105,7 @@
             await asyncio.sleep(0.01)
         raise AssertionError("the condition did not become true in time")
 
-    def register(self, server: WireServer, service: str, **changes: Any) -> None:
+    def register(self, server: StubServer, service: str, **changes: Any) -> None:
         """Write a server's registration."""
         entry = {
             "service": service,
--- a/tests/on_platform/wire.py
+++ b/tests/on_platform/stubs.py
@@ -18,7 +18,7 @@
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
 
-class Dropped(Exception):
+class ConnectionDropped(Exception):
     """Raised by a stub to close the connection without a response."""
 
 
@@ -40,7 +40,7 @@
     await send({"type": "http.response.body", "body": body})
 
 
-class Served:
+class StubApp:
     """Base class of an ASGI application served on a loopback socket."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         raise AssertionError("subclasses must override __call__")
 
 
-class WireStore(Served):
+class StubStore(StubApp):
     """A stub of the metadata store.
 
     While ``busy`` is set, calls get status 503. ``drop_next`` is the number of next writes whose
@@ -95,7 +95,7 @@
         status, data = await self._serve(call, scope, query, body)
         if self.drop_next and call in ("rows-tx", "blob-put"):
             self.drop_next -= 1
-            raise Dropped
+            raise ConnectionDropped
         await answer(send, status, data, content_type="application/json")
 
     async def _serve(
@@ -173,7 +173,7 @@
     return wire | {"value": base64.b64encode(row.value).decode()}
 
 
-class WireServer(Served):
+class StubServer(StubApp):
     """A stub of a backend server.
 
     It echoes plain requests, streams events to requests that name a model, and accepts load orders.
@@ -215,7 +215,7 @@
         self.seen.append((scope["method"], target, headers, body))
         if self.drop_next:
             self.drop_next -= 1
-            raise Dropped
+            raise ConnectionDropped
         own = {
             "x_verbenawind_attempt_id": headers["x-verbenawind-attempt-id"],
             "x_verbenawind_server_stamp": f"stamp-{self.instance_id}",
--- a/tests/soak/cost.py
+++ b/tests/soak/cost.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from on_platform.harness import HOST, MODEL, PlatformHarness
-from on_platform.wire import WireServer, WireStore
+from on_platform.stubs import StubServer, StubStore
 from soak.hosts import SoakHost
 from soak.run import send_raw_request
 
@@ -72,7 +72,7 @@
 
 async def _measure(directory: Path) -> None:
     harness = PlatformHarness()
-    harness.store = store = WireStore()
+    harness.store = store = StubStore()
     await store.start()
     for server in (*harness.engines, *harness.plain):
         await server.start()
@@ -100,7 +100,7 @@
     finally:
         await host.stop()
         for served in (*harness.engines, *harness.plain, store):
-            assert isinstance(served, WireServer | WireStore)
+            assert isinstance(served, StubServer | StubStore)
             await served.stop()
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from on_platform.harness import HOST, MODEL, PlatformHarness, Response
-from on_platform.wire import WireServer, WireStore
+from on_platform.stubs import StubServer, StubStore
 from soak.hosts import SoakHost
 from soak.proxy import FaultyProxy, LinkFault
 
@@ -49,7 +49,7 @@
     return None if length is not None and len(response.body) != int(length) else response
 
 
-class _Engine(WireServer):
+class _Engine(StubServer):
     """An engine that delays its events and records the time and the sender of each order."""
 
     def __init__(self, instance_id: str) -> None:
@@ -110,9 +110,9 @@
     def __init__(self, seed: int, hosts: int, engines: int, directory: Path) -> None:
         self._rng = Random(seed)
         self._harness = PlatformHarness()
-        self._harness.store = self.store = WireStore()
+        self._harness.store = self.store = StubStore()
         self._harness.engines = []
-        self._harness.plain = [WireServer("p0"), WireServer("p1")]
+        self._harness.plain = [StubServer("p0"), StubServer("p1")]
         self._engines = [_Engine(f"e{index}") for index in range(engines)]
         self._server_links: list[FaultyProxy] = []
         self._directory = directory
