--- a/src/verbenawind/standins/scene.py
+++ b/src/verbenawind/standins/simulation.py
@@ -13,13 +13,13 @@
 from verbenawind.standins.oracle import TrainerBounds
 from verbenawind.standins.simulated_clients import SimulatedClients
 
-__all__ = ["Scene", "with_weights"]
+__all__ = ["Simulation", "with_weights"]
 
 SETTLE_TIMEOUT_S = 180.0
 _RETRY_S = 0.3
 
 
-class Scene(SimulatedClients):
+class Simulation(SimulatedClients):
     """A simulated deployment with its clients; create it inside a running event loop.
 
     Args:
--- a/src/verbenawind/traces/faults.py
+++ b/src/verbenawind/traces/faults.py
@@ -3,20 +3,20 @@
 import asyncio
 from collections.abc import Callable
 
-from verbenawind.standins.scene import Scene
+from verbenawind.standins.simulation import Simulation
 from verbenawind.traces.types import Fault, FaultKind
 
 __all__ = ["apply_fault"]
 
 _SLOWDOWN = 10
-_HANDLERS: dict[FaultKind, Callable[[Scene, Fault], None]] = {}
+_HANDLERS: dict[FaultKind, Callable[[Simulation, Fault], None]] = {}
 
-FaultHandler = Callable[[Scene, Fault], None]
+FaultHandler = Callable[[Simulation, Fault], None]
 
 
-def apply_fault(scene: Scene, fault: Fault) -> None:
+def apply_fault(simulation: Simulation, fault: Fault) -> None:
     """Inject a fault and, for kinds with a duration, schedule its removal."""
-    _HANDLERS[fault.kind](scene, fault)
+    _HANDLERS[fault.kind](simulation, fault)
 
 
 def _register(kind: FaultKind) -> Callable[[FaultHandler], FaultHandler]:
@@ -27,73 +27,73 @@
     return register
 
 
-def _engine_id(scene: Scene, index: int) -> str:
-    return sorted(scene.deployment.engines)[index % len(scene.deployment.engines)]
+def _engine_id(simulation: Simulation, index: int) -> str:
+    return sorted(simulation.deployment.engines)[index % len(simulation.deployment.engines)]
 
 
-def _schedule_undo(scene: Scene, fault: Fault, undo: Callable[[], object]) -> None:
+def _schedule_undo(simulation: Simulation, fault: Fault, undo: Callable[[], object]) -> None:
     async def wait() -> None:
-        await scene.clock.sleep(fault.duration_s)
+        await simulation.clock.sleep(fault.duration_s)
         undone = undo()
         if asyncio.iscoroutine(undone):
             await undone
 
-    scene.spawn(wait())
+    simulation.spawn(wait())
 
 
 @_register(FaultKind.CRASH_ENGINE)
-def _crash_engine(scene: Scene, fault: Fault) -> None:
-    engine = scene.deployment.engines[_engine_id(scene, fault.target)]
+def _crash_engine(simulation: Simulation, fault: Fault) -> None:
+    engine = simulation.deployment.engines[_engine_id(simulation, fault.target)]
     engine.crash()
-    _schedule_undo(scene, fault, engine.restart)
+    _schedule_undo(simulation, fault, engine.restart)
 
 
 @_register(FaultKind.FAIL_SWAPS)
-def _fail_swaps(scene: Scene, fault: Fault) -> None:
-    scene.deployment.engines[_engine_id(scene, fault.target)].faults.fail_next_swaps += 1
+def _fail_swaps(simulation: Simulation, fault: Fault) -> None:
+    simulation.deployment.engines[_engine_id(simulation, fault.target)].faults.fail_next_swaps += 1
 
 
 @_register(FaultKind.SLOW_ENGINE)
-def _slow_engine(scene: Scene, fault: Fault) -> None:
-    profile = scene.deployment.engines[_engine_id(scene, fault.target)].profile
+def _slow_engine(simulation: Simulation, fault: Fault) -> None:
+    profile = simulation.deployment.engines[_engine_id(simulation, fault.target)].profile
     usual_s = profile.tick_s
     profile.tick_s = usual_s * _SLOWDOWN
-    _schedule_undo(scene, fault, lambda: setattr(profile, "tick_s", usual_s))
+    _schedule_undo(simulation, fault, lambda: setattr(profile, "tick_s", usual_s))
 
 
 @_register(FaultKind.CUT_ZONE)
-def _cut_zone(scene: Scene, fault: Fault) -> None:
-    scene.cut(fault.target, platform=True)
-    scene.cut(fault.target, platform=False)
-    _schedule_undo(scene, fault, scene.deployment.network.heal)
+def _cut_zone(simulation: Simulation, fault: Fault) -> None:
+    simulation.cut(fault.target, platform=True)
+    simulation.cut(fault.target, platform=False)
+    _schedule_undo(simulation, fault, simulation.deployment.network.heal)
 
 
 @_register(FaultKind.KILL_DAEMON)
-def _kill_daemon(scene: Scene, fault: Fault) -> None:
-    scene.spawn(scene.kill_daemon(fault.target))
-    _schedule_undo(scene, fault, lambda: scene.start_daemon(fault.target))
+def _kill_daemon(simulation: Simulation, fault: Fault) -> None:
+    simulation.spawn(simulation.kill_daemon(fault.target))
+    _schedule_undo(simulation, fault, lambda: simulation.start_daemon(fault.target))
 
 
 @_register(FaultKind.PAUSE_DAEMON)
-def _pause_daemon(scene: Scene, fault: Fault) -> None:
-    scene.pause(fault.target)
-    _schedule_undo(scene, fault, lambda: scene.resume(fault.target))
+def _pause_daemon(simulation: Simulation, fault: Fault) -> None:
+    simulation.pause(fault.target)
+    _schedule_undo(simulation, fault, lambda: simulation.resume(fault.target))
 
 
 @_register(FaultKind.STORE_DOWN)
-def _store_down(scene: Scene, fault: Fault) -> None:
-    scene.oracle.disturb(scene.clock.monotonic_s())
-    stores = (scene.deployment.table, scene.deployment.objects)
+def _store_down(simulation: Simulation, fault: Fault) -> None:
+    simulation.oracle.disturb(simulation.clock.monotonic_s())
+    stores = (simulation.deployment.table, simulation.deployment.objects)
 
     def set_down(down: bool) -> None:
         for store in stores:
             store.faults.down = down
 
     set_down(True)
-    _schedule_undo(scene, fault, lambda: set_down(False))
+    _schedule_undo(simulation, fault, lambda: set_down(False))
 
 
 @_register(FaultKind.LOSE_SERVICE_ANSWER)
-def _lose_service_answer(scene: Scene, _: Fault) -> None:
-    for service in scene.deployment.services.values():
+def _lose_service_answer(simulation: Simulation, _: Fault) -> None:
+    for service in simulation.deployment.services.values():
         service.lose_next_answers = 1
--- a/src/verbenawind/traces/replay.py
+++ b/src/verbenawind/traces/replay.py
@@ -10,7 +10,7 @@
 from verbenawind.standins.deployment import run_virtual
 from verbenawind.standins.engine import CRASH_MARK, EngineProfile
 from verbenawind.standins.oracle import Promise, Violation
-from verbenawind.standins.scene import Scene
+from verbenawind.standins.simulation import Simulation
 from verbenawind.traces.faults import apply_fault
 from verbenawind.traces.files import Trace
 from verbenawind.traces.types import (
@@ -79,42 +79,46 @@
         self._training_tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> Replay:
-        self._scene = scene = self._build()
-        await scene.start()
-        started_s = scene.clock.monotonic_s()
-        polls = [asyncio.ensure_future(self._poll(name)) for name in scene.trainers]
+        self._simulation = simulation = self._build()
+        await simulation.start()
+        started_s = simulation.clock.monotonic_s()
+        polls = [asyncio.ensure_future(self._poll(name)) for name in simulation.trainers]
         polls.append(asyncio.ensure_future(self._restart_crashed()))
         for event in self._events:
-            await scene.clock.sleep(max(0.0, started_s + event.at_s - scene.clock.monotonic_s()))
+            await simulation.clock.sleep(
+                max(0.0, started_s + event.at_s - simulation.clock.monotonic_s())
+            )
             await self._apply(event)
         ends_at_s = started_s + max((_end_s(event) for event in self._events), default=0.0)
-        await scene.clock.sleep(max(0.0, ends_at_s - scene.clock.monotonic_s()))
+        await simulation.clock.sleep(max(0.0, ends_at_s - simulation.clock.monotonic_s()))
         if self._training_tasks:
             await asyncio.wait(self._training_tasks, timeout=_MAX_TRAINING_S)
-        await scene.heal()
-        await scene.clock.sleep(_SETTLE_S)
-        scene.calm()
+        await simulation.heal()
+        await simulation.clock.sleep(_SETTLE_S)
+        simulation.calm()
         for poll in polls:
             poll.cancel()
         await asyncio.gather(*polls, return_exceptions=True)
-        await scene.quiet()
+        await simulation.quiet()
         self._record_complete_steps()
         return await self._finish(started_s)
 
-    def _build(self) -> Scene:
+    def _build(self) -> Simulation:
         header = self._trace.header
         if not self._events or not isinstance(self._events[0], DocumentChange):
             raise InvalidRequest(f"trace {header.name!r} does not start with a document event")
         document = self._events[0].document
         del self._events[0]
-        scene = Scene(header.seed, document, daemons=header.daemons, regions=header.regions)
+        simulation = Simulation(
+            header.seed, document, daemons=header.daemons, regions=header.regions
+        )
         models = {
             pool: {spec.name: spec.initial_version for spec in document.models if spec.pool == pool}
             for pool in header.engines
         }
         for pool, count in header.engines.items():
             for index in range(count):
-                scene.deployment.add_engine(
+                simulation.deployment.add_engine(
                     f"{pool}-{index}",
                     pool,
                     models[pool],
@@ -123,22 +127,22 @@
                 )
         for service, count in header.services.items():
             for index in range(count):
-                scene.deployment.add_service(f"{service}-{index}", service, zone_index=index)
-        return scene
+                simulation.deployment.add_service(f"{service}-{index}", service, zone_index=index)
+        return simulation
 
     async def _apply(self, event: Event) -> None:
-        scene = self._scene
+        simulation = self._simulation
         if isinstance(event, Fault):
-            apply_fault(scene, event)
+            apply_fault(simulation, event)
         elif isinstance(event, GenerationRequested):
             mark = CRASH_MARK if event.crashes else ""
             prompt = f"{event.digest}{mark}".ljust(event.prompt_characters, ".")
-            asked = scene.ask(
+            asked = simulation.ask(
                 event.daemon, prompt, max_tokens=event.max_tokens, model_name=event.model
             )
             self._call_tasks.append(asked)
         elif isinstance(event, ServiceCalled):
-            booking = scene.book(
+            booking = simulation.book(
                 event.daemon,
                 event.key,
                 event.digest,
@@ -147,25 +151,28 @@
             )
             self._call_tasks.append(booking)
         elif isinstance(event, DocumentChange):
-            scene.spawn(scene.accept(event.daemon, event.document))
+            simulation.spawn(simulation.accept(event.daemon, event.document))
         elif isinstance(event, VersionPublished):
-            scene.spawn(scene.publish(event.daemon, event.trainer))
+            simulation.spawn(simulation.publish(event.daemon, event.trainer))
         elif isinstance(event, StepSubmitted):
-            scene.spawn(self._submit(event.daemon, event.trainer, _recorded_submission(event)))
+            simulation.spawn(self._submit(event.daemon, event.trainer, _recorded_submission(event)))
         elif isinstance(event, TrainingLoop):
             self._training_tasks.append(asyncio.ensure_future(self._train(event)))
 
     async def _submit(self, daemon: int, trainer: str, submission: StepSubmission) -> None:
         samples = sum(group.size for group in submission.groups)
-        self._pending_steps[(trainer, submission.step)] = (self._scene.clock.monotonic_s(), samples)
+        self._pending_steps[(trainer, submission.step)] = (
+            self._simulation.clock.monotonic_s(),
+            samples,
+        )
         turn = daemon
-        while not await self._scene.submit(turn % self._daemons, trainer, submission):
+        while not await self._simulation.submit(turn % self._daemons, trainer, submission):
             turn += 1
-            await self._scene.clock.sleep(_POLL_PERIOD_S)
+            await self._simulation.clock.sleep(_POLL_PERIOD_S)
 
     async def _train(self, event: TrainingLoop) -> None:
         """Run training steps in a closed loop, with the next step always submitted in advance."""
-        clock = self._scene.clock
+        clock = self._simulation.clock
         await self._submit(0, event.trainer, _training_submission(event, 1))
         for step in range(1, event.steps + 1):
             if step < event.steps:
@@ -176,32 +183,34 @@
             self._idle_s += clock.monotonic_s() - began_s
             await clock.sleep(event.train_s)
             self._trained_s += event.train_s
-            version, turn = self._scene.trainers[event.trainer].version, step
-            while self._scene.trainers[event.trainer].version == version:
-                await self._scene.publish(turn % self._daemons, event.trainer)
+            version, turn = self._simulation.trainers[event.trainer].version, step
+            while self._simulation.trainers[event.trainer].version == version:
+                await self._simulation.publish(turn % self._daemons, event.trainer)
                 turn += 1
 
     async def _poll(self, trainer: str) -> None:
         turn = 0
         while True:
             turn += 1
-            await self._scene.poll(turn % self._daemons, trainer)
+            await self._simulation.poll(turn % self._daemons, trainer)
             self._record_complete_steps()
-            await self._scene.grade(turn % self._daemons, trainer, limit=64)
-            await self._scene.clock.sleep(_POLL_PERIOD_S)
+            await self._simulation.grade(turn % self._daemons, trainer, limit=64)
+            await self._simulation.clock.sleep(_POLL_PERIOD_S)
 
     async def _restart_crashed(self) -> None:
         """Restart crashed engines periodically, as the platform does."""
         while True:
-            await self._scene.clock.sleep(_RESTART_PERIOD_S)
-            for engine in self._scene.deployment.engines.values():
+            await self._simulation.clock.sleep(_RESTART_PERIOD_S)
+            for engine in self._simulation.deployment.engines.values():
                 if engine.down:
                     engine.restart()
 
     def _record_complete_steps(self) -> None:
-        now_s = self._scene.clock.monotonic_s()
-        for trainer in self._scene.trainers:
-            held = Counter(sample.step for sample in self._scene.oracle.received_samples(trainer))
+        now_s = self._simulation.clock.monotonic_s()
+        for trainer in self._simulation.trainers:
+            held = Counter(
+                sample.step for sample in self._simulation.oracle.received_samples(trainer)
+            )
             for (name, step), (since_s, samples) in list(self._pending_steps.items()):
                 if name == trainer and held[step] >= samples:
                     del self._pending_steps[(name, step)]
@@ -209,15 +218,15 @@
                     self._waited_s.append(now_s - since_s)
 
     async def _finish(self, started_s: float) -> Replay:
-        scene, stated = self._scene, self._trace.stated
+        simulation, stated = self._simulation, self._trace.stated
         if self._call_tasks:
             await asyncio.wait(self._call_tasks)
         answered = sum(task.result() for task in self._call_tasks)
-        scene.collect()
-        scene.look()
-        violations = tuple(scene.oracle.judge())
+        simulation.collect()
+        simulation.look()
+        violations = tuple(simulation.oracle.judge())
         runs: Counter[str] = Counter()
-        for service in scene.deployment.services.values():
+        for service in simulation.deployment.services.values():
             runs.update(service.runs)
         differences = [
             f"trainer {trainer}: {self._complete_steps[trainer]} complete steps, expected {steps}"
@@ -231,9 +240,9 @@
         ]
         if answered < stated.answered:
             differences.append(f"{answered} answered calls, expected at least {stated.answered}")
-        duration_s = scene.clock.monotonic_s() - started_s
-        staleness = tuple(scene.oracle.staleness_versions())
-        await scene.stop()
+        duration_s = simulation.clock.monotonic_s() - started_s
+        staleness = tuple(simulation.oracle.staleness_versions())
+        await simulation.stop()
         return Replay(
             name=self._trace.header.name,
             violations=violations,
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -14,7 +14,7 @@
 
 from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_scene, step_of
 from verbenawind.standins.engine import CRASH_MARK
-from verbenawind.standins.scene import with_weights
+from verbenawind.standins.simulation import with_weights
 
 DAEMONS = st.integers(0, 2)
 ENGINE_INDEXES = st.integers(0, ENGINES - 1)
--- a/tests/fuzz/scenes.py
+++ b/tests/fuzz/scenes.py
@@ -2,7 +2,7 @@
 
 from verbenawind.document import parse_document
 from verbenawind.kernel.rollouts import PromptGroup, Sampling, StepSubmission
-from verbenawind.standins.scene import Scene
+from verbenawind.standins.simulation import Simulation
 
 DOCUMENT = parse_document("""
 {
@@ -32,9 +32,9 @@
 SERVICES = 2
 
 
-def make_scene(seed: int) -> Scene:
+def make_scene(seed: int) -> Simulation:
     """Return an unstarted scene of three zones, four engines and two service hosts."""
-    unstarted = Scene(seed, DOCUMENT)
+    unstarted = Simulation(seed, DOCUMENT)
     for index in range(ENGINES):
         unstarted.deployment.add_engine(
             f"engine-{index}",
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -3,7 +3,7 @@
 from fuzz.scenes import DOCUMENT, make_scene, step_of
 from verbenawind.standins.deployment import run_virtual
 from verbenawind.standins.engine import CRASH_MARK
-from verbenawind.standins.scene import with_weights
+from verbenawind.standins.simulation import with_weights
 
 
 class TestRegressions:
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -22,18 +22,18 @@
 from verbenawind.standins.engine import CRASH_MARK
 from verbenawind.standins.network import PLATFORM
 from verbenawind.standins.oracle import Promise
-from verbenawind.standins.scene import Scene, with_weights
+from verbenawind.standins.simulation import Simulation, with_weights
 from verbenawind.state import ConfigurationStore
 
 Patch = pytest.MonkeyPatch
-Scenario = Callable[[Scene], Awaitable[None]]
+Scenario = Callable[[Simulation], Awaitable[None]]
 
 _SWAP_DELAY_S = 0.4
 
 # Scenarios.
 
 
-async def step_during_swap(scene: Scene) -> None:
+async def step_during_swap(scene: Simulation) -> None:
     """The engines swap to a new version while a step is generated."""
     await scene.submit(0, "folders", step_of("folders", 1))
     await scene.clock.sleep(_SWAP_DELAY_S)
@@ -41,7 +41,7 @@
     await scene.quiet()
 
 
-async def late_poll(scene: Scene) -> None:
+async def late_poll(scene: Simulation) -> None:
     """A trainer polls for a step after publishing two newer versions."""
     await scene.submit(0, "folders", step_of("folders", 1))
     await scene.clock.sleep(20.0)
@@ -51,7 +51,7 @@
     await scene.quiet(60.0)
 
 
-async def two_polls(scene: Scene) -> None:
+async def two_polls(scene: Simulation) -> None:
     """A trainer polls for two steps one after the other."""
     for step in (1, 2):
         await scene.submit(0, "folders", step_of("folders", step))
@@ -60,7 +60,7 @@
     await scene.poll(1, "folders")
 
 
-async def repeated_grades(scene: Scene) -> None:
+async def repeated_grades(scene: Simulation) -> None:
     """A trainer sends its grades again after losing the acknowledgement."""
     await scene.submit(0, "folders", step_of("folders", 1))
     await scene.quiet()
@@ -71,7 +71,7 @@
         await scene.poll(0, "folders")
 
 
-async def truncated_streams(scene: Scene) -> None:
+async def truncated_streams(scene: Simulation) -> None:
     """Engines omit the end marker of their streams."""
     for engine in scene.deployment.engines.values():
         engine.faults.drop_end_mark = True
@@ -82,7 +82,7 @@
     await calls
 
 
-async def crash_while_streaming(scene: Scene) -> None:
+async def crash_while_streaming(scene: Simulation) -> None:
     """All engines but one crash while they stream answers."""
     calls = [scene.ask(index % 3, f"die {index}", max_tokens=400) for index in range(8)]
     await scene.clock.sleep(0.2)
@@ -91,12 +91,12 @@
     await asyncio.wait(calls)
 
 
-async def crashing_request(scene: Scene) -> None:
+async def crashing_request(scene: Simulation) -> None:
     """A request crashes the engines that it runs on until it is refused."""
     await scene.ask(0, f"a die {CRASH_MARK}")
 
 
-async def duplicate_booking(scene: Scene) -> None:
+async def duplicate_booking(scene: Simulation) -> None:
     """A caller sends the same booking to two daemons at once."""
     calls = [
         scene.book(0, "pallet", "window envelopes"),
@@ -105,7 +105,7 @@
     await asyncio.wait(calls)
 
 
-async def leaving_engine(scene: Scene) -> None:
+async def leaving_engine(scene: Simulation) -> None:
     """Callers send requests after an engine was listed as leaving."""
     scene.leave("engine-1")
     await scene.clock.sleep(8.0)
@@ -113,7 +113,7 @@
     await asyncio.wait(calls)
 
 
-async def shutdown_under_load(scene: Scene) -> None:
+async def shutdown_under_load(scene: Simulation) -> None:
     """A daemon shuts down while it streams answers."""
     calls = [scene.ask(0, f"job {index}", max_tokens=300) for index in range(4)]
     await scene.clock.sleep(0.1)
@@ -121,7 +121,7 @@
     await asyncio.wait(calls)
 
 
-async def delayed_table_response(scene: Scene) -> None:
+async def delayed_table_response(scene: Simulation) -> None:
     """Slow table responses reach one daemon after newer revisions."""
     deployment, zone = scene.deployment, scene.deployment.locations[2].zone
     original_delay_s = deployment.network._delay_s
@@ -135,13 +135,13 @@
             scene.look()
 
 
-async def changed_document(scene: Scene) -> None:
+async def changed_document(scene: Simulation) -> None:
     """An operator changes the document."""
     await scene.accept(0, with_weights(DOCUMENT, 2.0))
     await scene.clock.sleep(8.0)
 
 
-async def concurrent_operators(scene: Scene) -> None:
+async def concurrent_operators(scene: Simulation) -> None:
     """Two operators change the document at once."""
     await asyncio.gather(
         *(scene.accept(index, with_weights(DOCUMENT, 2.0 + index)) for index in (0, 1))
