--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -16,7 +16,7 @@
 from verbenawind.rollout import Rollouts
 from verbenawind.rollout.policy import RolloutPolicy
 from verbenawind.standins.deployment import Deployment, run_virtual
-from verbenawind.standins.engine import LONG_MARK, EngineProfile
+from verbenawind.standins.engine import LONG_MARKER, EngineProfile
 from verbenawind.standins.platform import StandinTable
 from verbenawind.standins.trainer import StandinTrainer
 from verbenawind.standins.trainer_calls import CoreTrainerCalls
@@ -119,7 +119,7 @@
 def _prompt(_: int, group: int) -> str:
     """Return the prompt of a group, the same in each step so that its length can be learned."""
     return (
-        f"envelope job {group}{LONG_MARK if group % _LONG_INTERVAL == _LONG_INTERVAL - 1 else ''}"
+        f"envelope job {group}{LONG_MARKER if group % _LONG_INTERVAL == _LONG_INTERVAL - 1 else ''}"
     )
 
 
--- a/src/verbenawind/standins/engine.py
+++ b/src/verbenawind/standins/engine.py
@@ -26,7 +26,7 @@
     TokensGenerated,
 )
 from verbenawind.standins.engine_profile import (
-    LONG_MARK,
+    LONG_MARKER,
     EngineFaults,
     EngineProfile,
     expected_token,
@@ -34,8 +34,8 @@
 )
 
 __all__ = [
-    "CRASH_MARK",
-    "LONG_MARK",
+    "CRASH_MARKER",
+    "LONG_MARKER",
     "EngineFaults",
     "EngineProfile",
     "StandinEngine",
@@ -44,7 +44,7 @@
 ]
 
 _BLOCK_CHARACTERS = 64
-CRASH_MARK = "[crash-engine]"
+CRASH_MARKER = "[crash-engine]"
 _MAX_RECORDED_ATTEMPTS = 1024
 
 
@@ -139,7 +139,7 @@
         running = _AttemptState(attempt)
         self._waiting.append(running)
         self._record_load()
-        if CRASH_MARK in attempt.prompt:
+        if CRASH_MARKER in attempt.prompt:
             self.crash()
         self._ensure_batch_loop()
         try:
@@ -147,7 +147,7 @@
                 event = await running.queue.get()
                 if isinstance(event, Exception):
                     raise event
-                if isinstance(event, GenerationEnded) and self.faults.drop_end_mark:
+                if isinstance(event, GenerationEnded) and self.faults.drop_end_marker:
                     return
                 yield event
                 if isinstance(event, GenerationEnded):
--- a/src/verbenawind/standins/engine_profile.py
+++ b/src/verbenawind/standins/engine_profile.py
@@ -4,9 +4,9 @@
 import zlib
 from random import Random
 
-__all__ = ["LONG_MARK", "EngineFaults", "EngineProfile", "expected_token", "natural_length"]
+__all__ = ["LONG_MARKER", "EngineFaults", "EngineProfile", "expected_token", "natural_length"]
 
-LONG_MARK = "[long]"
+LONG_MARKER = "[long]"
 _LONG_OUTPUT_FACTOR = 4
 _VOCABULARY_SIZE = 50_000
 
@@ -21,7 +21,7 @@
 
     Prompts that contain LONG_MARK have longer outputs.
     """
-    if LONG_MARK in prompt:
+    if LONG_MARKER in prompt:
         median_tokens *= _LONG_OUTPUT_FACTOR
     normal = Random(f"{prompt}|{seed}").gauss(0.0, sigma)
     return max(1, round(median_tokens * math.exp(normal)))
@@ -81,7 +81,7 @@
     """
 
     __slots__ = (
-        "drop_end_mark",
+        "drop_end_marker",
         "event_gap_rate",
         "fail_next_swaps",
         "stalled",
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         self.stalled = False
         self.unreachable = False
-        self.drop_end_mark = False
+        self.drop_end_marker = False
         self.fail_next_swaps = 0
         self.version_report_lag_s = 0.0
         self.event_gap_rate = 0.1
--- a/src/verbenawind/standins/http.py
+++ b/src/verbenawind/standins/http.py
@@ -78,7 +78,7 @@
             return
         finally:
             await events.aclose()
-        if not engine.faults.drop_end_mark:
+        if not engine.faults.drop_end_marker:
             yield b"data: [DONE]\n\n"
 
     @post("/v1/completions", status_code=200)
--- a/src/verbenawind/standins/simulation.py
+++ b/src/verbenawind/standins/simulation.py
@@ -168,7 +168,9 @@
             store.faults.lose_next_answers = 0
         deployment.hosts.down = False
         for engine in deployment.engines.values():
-            engine.faults.unreachable = engine.faults.stalled = engine.faults.drop_end_mark = False
+            engine.faults.unreachable = engine.faults.stalled = engine.faults.drop_end_marker = (
+                False
+            )
             engine.faults.fail_next_swaps = 0
         self._restart_engines()
         for service in deployment.services.values():
--- a/src/verbenawind/traces/replay.py
+++ b/src/verbenawind/traces/replay.py
@@ -8,7 +8,7 @@
 from verbenawind.errors import InvalidRequest
 from verbenawind.kernel.rollouts import PromptGroup, Sampling, StepSubmission
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.engine import CRASH_MARK, EngineProfile
+from verbenawind.standins.engine import CRASH_MARKER, EngineProfile
 from verbenawind.standins.oracle import Guarantee, Violation
 from verbenawind.standins.simulation import Simulation
 from verbenawind.traces.faults import apply_fault
@@ -135,7 +135,7 @@
         if isinstance(event, Fault):
             apply_fault(simulation, event)
         elif isinstance(event, GenerationRequested):
-            mark = CRASH_MARK if event.crashes else ""
+            mark = CRASH_MARKER if event.crashes else ""
             prompt = f"{event.digest}{mark}".ljust(event.prompt_characters, ".")
             asked = simulation.ask(
                 event.daemon, prompt, max_tokens=event.max_tokens, model_name=event.model
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_scene, step_of
-from verbenawind.standins.engine import CRASH_MARK
+from verbenawind.standins.engine import CRASH_MARKER
 from verbenawind.standins.simulation import with_weights
 
 DAEMONS = st.integers(0, 2)
@@ -68,9 +68,9 @@
         if not ends:
             faults.fail_next_swaps = 1
             return
-        faults.drop_end_mark = True
+        faults.drop_end_marker = True
         self._advance(1.0)
-        faults.drop_end_mark = False
+        faults.drop_end_marker = False
 
     @rule(engine=ENGINE_INDEXES)
     def delay_version_report(self, engine: int) -> None:
@@ -287,7 +287,7 @@
     @rule(index=DAEMONS)
     def ask_crashing(self, index: int) -> None:
         """A caller sends a request that crashes engines."""
-        self._do(lambda: self.scene.ask(index, f"a die {CRASH_MARK}"))
+        self._do(lambda: self.scene.ask(index, f"a die {CRASH_MARKER}"))
 
     @rule(index=DAEMONS, number=st.integers(0, 20))
     def ask_truncated(self, index: int, number: int) -> None:
@@ -296,11 +296,11 @@
         async def ask() -> None:
             faults = [engine.faults for engine in self.scene.deployment.engines.values()]
             for fault in faults:
-                fault.drop_end_mark = True
+                fault.drop_end_marker = True
             self.scene.ask(index, f"which glue for envelope {number}")
             await self.scene.clock.sleep(2.0)
             for fault in faults:
-                fault.drop_end_mark = False
+                fault.drop_end_marker = False
 
         self._run(ask())
 
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -2,7 +2,7 @@
 
 from fuzz.scenes import DOCUMENT, make_scene, step_of
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.engine import CRASH_MARK
+from verbenawind.standins.engine import CRASH_MARKER
 from verbenawind.standins.simulation import with_weights
 
 
@@ -32,7 +32,7 @@
             running_scene.leave("engine-2")
             running_scene.leave("engine-3")
             await running_scene.clock.sleep(6.0)
-            assert not await running_scene.ask(0, f"a die {CRASH_MARK}")
+            assert not await running_scene.ask(0, f"a die {CRASH_MARKER}")
             running_scene.check()
             await running_scene.stop()
 
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -19,7 +19,7 @@
 from verbenawind.routing import dispatcher, runs
 from verbenawind.routing.claims import Claims
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.engine import CRASH_MARK
+from verbenawind.standins.engine import CRASH_MARKER
 from verbenawind.standins.network import PLATFORM
 from verbenawind.standins.oracle import Guarantee
 from verbenawind.standins.simulation import Simulation, with_weights
@@ -74,11 +74,11 @@
 async def truncated_streams(scene: Simulation) -> None:
     """Engines omit the end marker of their streams."""
     for engine in scene.deployment.engines.values():
-        engine.faults.drop_end_mark = True
+        engine.faults.drop_end_marker = True
     calls = scene.ask(0, "which die")
     await scene.clock.sleep(2.0)
     for engine in scene.deployment.engines.values():
-        engine.faults.drop_end_mark = False
+        engine.faults.drop_end_marker = False
     await calls
 
 
@@ -93,7 +93,7 @@
 
 async def crashing_request(scene: Simulation) -> None:
     """A request crashes the engines that it runs on until it is refused."""
-    await scene.ask(0, f"a die {CRASH_MARK}")
+    await scene.ask(0, f"a die {CRASH_MARKER}")
 
 
 async def duplicate_booking(scene: Simulation) -> None:
--- a/tests/routing/test_generations.py
+++ b/tests/routing/test_generations.py
@@ -70,11 +70,11 @@
             (core,) = await start(deployment, engines=2)
             request = make_request(core)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = True
+                engine.faults.drop_end_marker = True
             task = asyncio.ensure_future(collect_events(core, request))
             await asyncio.sleep(1.0)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = False
+                engine.faults.drop_end_marker = False
             assert is_complete(await task, request)
 
         scenario(work)
@@ -85,7 +85,7 @@
         async def work(deployment: Deployment) -> None:
             (core,) = await start(deployment, engines=2)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = True
+                engine.faults.drop_end_marker = True
             answer = await collect_events(core, make_request(core, timeout_s=10.0))
             assert isinstance(answer, VerbenawindError)
             assert answer.outcome is not Outcome.NOT_RUN
@@ -333,7 +333,7 @@
         async def work(deployment: Deployment) -> None:
             (core,) = await start(deployment, engines=2)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = True
+                engine.faults.drop_end_marker = True
             requests = [make_request(core, f"r{index}", timeout_s=20.0) for index in range(200)]
             await asyncio.gather(*(collect_events(core, request) for request in requests))
             attempts = sum(count_starts(deployment, request.request_id) for request in requests)
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -7,9 +7,9 @@
 from verbenawind.errors import Outcome, RequestConvicted
 from verbenawind.kernel.messages import GenerateRequest
 from verbenawind.standins.deployment import Deployment
-from verbenawind.standins.engine import CRASH_MARK
+from verbenawind.standins.engine import CRASH_MARKER
 
-CRASHING_PROMPT = f"{CRASH_MARK} quote"
+CRASHING_PROMPT = f"{CRASH_MARKER} quote"
 
 
 def crashes(deployment: Deployment) -> int:
@@ -83,11 +83,11 @@
         async def work(deployment: Deployment) -> None:
             (core,) = await start(deployment, engines=2)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = True
+                engine.faults.drop_end_marker = True
             task = asyncio.ensure_future(collect_events(core, make_request(core)))
             await asyncio.sleep(0.6)
             for engine in deployment.engines.values():
-                engine.faults.drop_end_mark = False
+                engine.faults.drop_end_marker = False
             await task
             assert not core.peers.items("suspect")
 
