--- a/bench/membership.py
+++ b/bench/membership.py
@@ -16,7 +16,7 @@
 from verbenawind.kernel.ports import SpreadItem
 from verbenawind.plugins.peer_websocket import WebSocketPeerTransport
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.network import GatedClock, Process, StandinNetwork
+from verbenawind.standins.network import PausableClock, Process, StandinNetwork
 from verbenawind.standins.peer_network import NetworkTransport
 
 __all__ = ["run"]
@@ -211,7 +211,7 @@
         processes[peer_id] = Process(network, zone)
         return NetworkTransport(processes[peer_id])
 
-    cluster = PeerCluster(GatedClock(clock, Process(network, "")), rng, transport)
+    cluster = PeerCluster(PausableClock(clock, Process(network, "")), rng, transport)
     await cluster.start(sizes)
     await asyncio.sleep(rng.uniform(5.0, 7.0))
     zone = cluster.buses[: sizes[0]]
--- a/src/verbenawind/standins/deployment.py
+++ b/src/verbenawind/standins/deployment.py
@@ -17,7 +17,6 @@
 from verbenawind.settings import DaemonSettings
 from verbenawind.standins.engine import EngineProfile, StandinEngine
 from verbenawind.standins.network import (
-    GatedClock,
     NetworkEngine,
     NetworkHosts,
     NetworkObjects,
@@ -25,6 +24,7 @@
     NetworkService,
     NetworkTable,
     NetworkWeights,
+    PausableClock,
     Process,
     StandinNetwork,
 )
@@ -138,7 +138,7 @@
     def outside(self, process: Process) -> Outside:
         """Return the external dependencies of a process, accessed over the simulated network."""
         return Outside(
-            clock=GatedClock(self.clock, process),
+            clock=PausableClock(self.clock, process),
             rng=Random(self.rng.random()),
             table=NetworkTable(process, self.table),
             objects=NetworkObjects(process, self.objects),
--- a/src/verbenawind/standins/network.py
+++ b/src/verbenawind/standins/network.py
@@ -41,7 +41,6 @@
 __all__ = [
     "CUT_DETECTION_S",
     "PLATFORM",
-    "GatedClock",
     "NetworkEngine",
     "NetworkHosts",
     "NetworkObjects",
@@ -49,6 +48,7 @@
     "NetworkService",
     "NetworkTable",
     "NetworkWeights",
+    "PausableClock",
     "Process",
     "StandinNetwork",
 ]
@@ -160,7 +160,7 @@
         return result
 
 
-class GatedClock:
+class PausableClock:
     """A clock whose sleeps do not end while the process is paused; implements Clock.
 
     Args:
--- a/tests/membership/test_bus.py
+++ b/tests/membership/test_bus.py
@@ -14,7 +14,7 @@
 from verbenawind.kernel.ports import SpreadItem
 from verbenawind.membership import GossipBus
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.network import GatedClock, Process, StandinNetwork
+from verbenawind.standins.network import PausableClock, Process, StandinNetwork
 from verbenawind.standins.peer_network import NetworkTransport
 
 KEY = b"a-shared-key-of-all-daemons"
@@ -52,7 +52,7 @@
             key=key,
             seeds=tuple(self.addresses.values())[:3],
             transport=NetworkTransport(process),
-            clock=GatedClock(LoopClock(datetime(2026, 1, 1, tzinfo=UTC), skew_s), process),
+            clock=PausableClock(LoopClock(datetime(2026, 1, 1, tzinfo=UTC), skew_s), process),
             rng=Random(self.rng.random()),
         )
         self.buses[peer_id] = bus
