--- a/src/verbenawind/standins/oracle.py
+++ b/src/verbenawind/standins/oracle.py
@@ -112,11 +112,11 @@
 
     # Disturbances. They relax time limits, but never the correctness checks.
 
-    def disturb(self, at_s: float) -> None:
+    def begin_disturbance(self, at_s: float) -> None:
         """Record that part of the system is cut off, paused or without its platform."""
         self._disturbances.append([at_s, float("inf")])
 
-    def calm(self, at_s: float) -> None:
+    def end_disturbances(self, at_s: float) -> None:
         """Record that all disturbances have ended."""
         for interval in self._disturbances:
             interval[1] = min(interval[1], at_s)
@@ -294,7 +294,7 @@
 
     # Results.
 
-    def judge(self) -> Sequence[Violation]:
+    def find_violations(self) -> Sequence[Violation]:
         """Check requests reported as not run against those that ran; return all violations."""
         for request_id in self._reported_not_run.keys() & self._started_requests:
             code = self._reported_not_run.pop(request_id)
--- a/src/verbenawind/standins/simulation.py
+++ b/src/verbenawind/standins/simulation.py
@@ -13,7 +13,7 @@
 from verbenawind.standins.oracle import TrainerBounds
 from verbenawind.standins.simulated_clients import SimulatedClients
 
-__all__ = ["Simulation", "with_weights"]
+__all__ = ["Simulation", "with_idle_weight"]
 
 SETTLE_TIMEOUT_S = 180.0
 _RETRY_S = 0.3
@@ -73,7 +73,7 @@
         calls = self._calls.pop(daemon_id, None)
         if calls is None:
             return
-        self.oracle.disturb(self.clock.monotonic_s())
+        self.oracle.begin_disturbance(self.clock.monotonic_s())
         for call in calls:
             call.cancel()
         self.deployment.processes[daemon_id].resume()
@@ -105,7 +105,7 @@
 
     def cut(self, zone_index: int, *, platform: bool, both_ways: bool = True) -> None:
         """Partition a zone from the platform or from the other zones."""
-        self.oracle.disturb(self.clock.monotonic_s())
+        self.oracle.begin_disturbance(self.clock.monotonic_s())
         zone = self.deployment.locations[zone_index].zone
         if platform:
             self.deployment.network.cut(zone, PLATFORM, both_ways=both_ways)
@@ -116,7 +116,7 @@
 
     def pause(self, index: int) -> None:
         """Pause a daemon's process."""
-        self.oracle.disturb(self.clock.monotonic_s())
+        self.oracle.begin_disturbance(self.clock.monotonic_s())
         self.deployment.processes[self.daemon_ids[index]].pause()
 
     def resume(self, index: int) -> None:
@@ -132,7 +132,7 @@
 
     # Checks.
 
-    def look(self) -> None:
+    def observe_revisions(self) -> None:
         """Report to the oracle the revision that every ready daemon considers active."""
         for index, daemon_id in enumerate(self.daemon_ids):
             core = self.deployment.daemons.get(daemon_id)
@@ -150,8 +150,8 @@
     def check(self) -> None:
         """Raise AssertionError if a guarantee was violated."""
         self.collect()
-        self.look()
-        violations = self.oracle.judge()
+        self.observe_revisions()
+        violations = self.oracle.find_violations()
         if violations:
             lines = [f"{violation.promise}: {violation.what}" for violation in violations[:8]]
             raise AssertionError("\n".join(lines))
@@ -181,11 +181,11 @@
         for index in range(len(self.daemon_ids)):
             await self.start_daemon(index)
 
-    def calm(self) -> None:
+    def end_disturbances(self) -> None:
         """Tell the oracle that all faults and their after-effects have ended."""
-        self.oracle.calm(self.clock.monotonic_s())
+        self.oracle.end_disturbances(self.clock.monotonic_s())
 
-    async def quiet(self, timeout_s: float = SETTLE_TIMEOUT_S) -> None:
+    async def wait_until_settled(self, timeout_s: float = SETTLE_TIMEOUT_S) -> None:
         """Wait for all clients to finish; a call or delivery that does not violates liveness."""
         await self._wait_for_background_calls()
         ends_at_s = self.clock.monotonic_s() + timeout_s
@@ -200,7 +200,7 @@
             self.oracle.report_unfinished(
                 f"trainer {name} is missing {len(missing)} deliveries: {missing[:4]}"
             )
-        self.look()
+        self.observe_revisions()
         for index in range(len(self.daemon_ids)):
             if not self.deployment.daemons[self.daemon_ids[index]].ready:
                 self.oracle.report_unfinished(f"{self.daemon_ids[index]} is not ready")
@@ -229,7 +229,7 @@
                 engine.restart()
 
 
-def with_weights(document: EnvironmentDocument, idle_weight: float) -> EnvironmentDocument:
+def with_idle_weight(document: EnvironmentDocument, idle_weight: float) -> EnvironmentDocument:
     """Return a copy of the document with another idle weight and hence another digest."""
     return msgspec.structs.replace(document, trainer_idle_weight=idle_weight)
 
--- a/src/verbenawind/traces/faults.py
+++ b/src/verbenawind/traces/faults.py
@@ -82,7 +82,7 @@
 
 @_register(FaultKind.STORE_DOWN)
 def _store_down(simulation: Simulation, fault: Fault) -> None:
-    simulation.oracle.disturb(simulation.clock.monotonic_s())
+    simulation.oracle.begin_disturbance(simulation.clock.monotonic_s())
     stores = (simulation.deployment.table, simulation.deployment.objects)
 
     def set_down(down: bool) -> None:
--- a/src/verbenawind/traces/replay.py
+++ b/src/verbenawind/traces/replay.py
@@ -95,11 +95,11 @@
             await asyncio.wait(self._training_tasks, timeout=_MAX_TRAINING_S)
         await simulation.heal()
         await simulation.clock.sleep(_SETTLE_S)
-        simulation.calm()
+        simulation.end_disturbances()
         for poll in polls:
             poll.cancel()
         await asyncio.gather(*polls, return_exceptions=True)
-        await simulation.quiet()
+        await simulation.wait_until_settled()
         self._record_complete_steps()
         return await self._finish(started_s)
 
@@ -223,8 +223,8 @@
             await asyncio.wait(self._call_tasks)
         answered = sum(task.result() for task in self._call_tasks)
         simulation.collect()
-        simulation.look()
-        violations = tuple(simulation.oracle.judge())
+        simulation.observe_revisions()
+        violations = tuple(simulation.oracle.find_violations())
         runs: Counter[str] = Counter()
         for service in simulation.deployment.services.values():
             runs.update(service.runs)
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -14,7 +14,7 @@
 
 from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_scene, step_of
 from verbenawind.standins.engine import CRASH_MARKER
-from verbenawind.standins.simulation import with_weights
+from verbenawind.standins.simulation import with_idle_weight
 
 DAEMONS = st.integers(0, 2)
 ENGINE_INDEXES = st.integers(0, ENGINES - 1)
@@ -46,7 +46,7 @@
     def change_document(self, index: int) -> None:
         """An operator changes the document."""
         self._documents += 1
-        document = with_weights(DOCUMENT, 1.0 + self._documents)
+        document = with_idle_weight(DOCUMENT, 1.0 + self._documents)
         self._background(self.scene.accept(index, document))
 
     @rule(engine=ENGINE_INDEXES)
@@ -137,7 +137,7 @@
         """Links between daemons drop a fraction of their messages."""
 
         def change() -> None:
-            self.scene.oracle.disturb(self.scene.clock.monotonic_s())
+            self.scene.oracle.begin_disturbance(self.scene.clock.monotonic_s())
             self.scene.deployment.network.loss_rate = rate
 
         self._do(change)
@@ -159,7 +159,7 @@
 
         def change() -> None:
             if fault != "healthy":
-                self.scene.oracle.disturb(deployment.clock.monotonic_s())
+                self.scene.oracle.begin_disturbance(deployment.clock.monotonic_s())
             for store in (deployment.table, deployment.objects):
                 store.faults.down = fault == "down"
                 store.faults.delay_s = 0.4 if fault == "slow" else 0.0
@@ -183,8 +183,8 @@
     async def _finish(self) -> None:
         await self.scene.heal()
         await self.scene.clock.sleep(SETTLE_TIME_S)
-        self.scene.calm()
-        await self.scene.quiet()
+        self.scene.end_disturbances()
+        await self.scene.wait_until_settled()
         try:
             self.scene.check()
         finally:
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -3,7 +3,7 @@
 from fuzz.scenes import DOCUMENT, make_scene, step_of
 from verbenawind.standins.deployment import run_virtual
 from verbenawind.standins.engine import CRASH_MARKER
-from verbenawind.standins.simulation import with_weights
+from verbenawind.standins.simulation import with_idle_weight
 
 
 class TestRegressions:
@@ -13,10 +13,10 @@
         async def scenario() -> None:
             running_scene = make_scene(1)
             await running_scene.start()
-            assert await running_scene.accept(1, with_weights(DOCUMENT, 2.0))
+            assert await running_scene.accept(1, with_idle_weight(DOCUMENT, 2.0))
             await running_scene.clock.sleep(5.0)
             assert await running_scene.submit(2, "folders", step_of("folders", 1))
-            await running_scene.quiet(60.0)
+            await running_scene.wait_until_settled(60.0)
             running_scene.check()
             await running_scene.stop()
 
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -22,7 +22,7 @@
 from verbenawind.standins.engine import CRASH_MARKER
 from verbenawind.standins.network import PLATFORM
 from verbenawind.standins.oracle import Guarantee
-from verbenawind.standins.simulation import Simulation, with_weights
+from verbenawind.standins.simulation import Simulation, with_idle_weight
 from verbenawind.state import ConfigurationStore
 
 Patch = pytest.MonkeyPatch
@@ -38,7 +38,7 @@
     await scene.submit(0, "folders", step_of("folders", 1))
     await scene.clock.sleep(_SWAP_DELAY_S)
     await scene.publish(0, "folders")
-    await scene.quiet()
+    await scene.wait_until_settled()
 
 
 async def late_poll(scene: Simulation) -> None:
@@ -48,7 +48,7 @@
     for _ in range(2):
         await scene.publish(1, "folders")
         await scene.clock.sleep(4.0)
-    await scene.quiet(60.0)
+    await scene.wait_until_settled(60.0)
 
 
 async def two_polls(scene: Simulation) -> None:
@@ -63,7 +63,7 @@
 async def repeated_grades(scene: Simulation) -> None:
     """A trainer sends its grades again after losing the acknowledgement."""
     await scene.submit(0, "folders", step_of("folders", 1))
-    await scene.quiet()
+    await scene.wait_until_settled()
     await scene.grade(0, "folders")
     scene.trainers["folders"].graded.clear()
     await scene.grade(1, "folders")
@@ -129,22 +129,22 @@
         1.2 if (a, b) == (PLATFORM, zone) else original_delay_s(a, b)
     )
     for number in range(12):
-        await scene.accept(0, with_weights(DOCUMENT, 2.0 + number))
+        await scene.accept(0, with_idle_weight(DOCUMENT, 2.0 + number))
         for _ in range(5):
             await scene.clock.sleep(0.1)
-            scene.look()
+            scene.observe_revisions()
 
 
 async def changed_document(scene: Simulation) -> None:
     """An operator changes the document."""
-    await scene.accept(0, with_weights(DOCUMENT, 2.0))
+    await scene.accept(0, with_idle_weight(DOCUMENT, 2.0))
     await scene.clock.sleep(8.0)
 
 
 async def concurrent_operators(scene: Simulation) -> None:
     """Two operators change the document at once."""
     await asyncio.gather(
-        *(scene.accept(index, with_weights(DOCUMENT, 2.0 + index)) for index in (0, 1))
+        *(scene.accept(index, with_idle_weight(DOCUMENT, 2.0 + index)) for index in (0, 1))
     )
 
 
@@ -322,8 +322,8 @@
         try:
             await scenario(running_scene)
             running_scene.collect()
-            running_scene.look()
-            return {violation.promise for violation in running_scene.oracle.judge()}
+            running_scene.observe_revisions()
+            return {violation.promise for violation in running_scene.oracle.find_violations()}
         finally:
             await running_scene.stop()
 
