--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -9,7 +9,7 @@
 from verbenawind.weights.load_scheduler import EngineReport
 from verbenawind.weights.rolling import LoadOrder, OrderAnswer, OrderReply
 
-__all__ = ["OpaqueEngine", "OpaqueEngines", "text_of"]
+__all__ = ["OpaqueEngine", "OpaqueEngines", "item_text"]
 
 _OK = 200
 _UNAVAILABLE = 503
@@ -19,7 +19,7 @@
 _POLL_PERIOD_S = 0.005
 
 
-def text_of(item_id: str, events: int) -> str:
+def item_text(item_id: str, events: int) -> str:
     """Return the complete text of an item."""
     return "\n".join(f"{item_id}.{number}" for number in range(1, events + 1))
 
@@ -44,7 +44,7 @@
         self.versions = dict(instance.versions)
         self.running = 0
         self.peak_running = 0
-        self.dark = False
+        self.unresponsive = False
         self.down = False
         self.fail_items: set[str] = set()
         self.refuse_items: set[str] = set()
@@ -101,7 +101,7 @@
             self.close()
             return None
         await asyncio.sleep(engine.pace_s)
-        await _wait_until(lambda: not (engine.dark or engine.loading))
+        await _wait_until(lambda: not (engine.unresponsive or engine.loading))
         self._events_sent += 1
         broken = engine.break_after is not None and self._events_sent > engine.break_after
         if engine.down or broken:
@@ -138,7 +138,7 @@
         request_id = attempt.request.request_id
         if engine.down:
             raise BackendServerUnreachable(f"engine {instance.instance_id} is down")
-        await _wait_until(lambda: not engine.dark)
+        await _wait_until(lambda: not engine.unresponsive)
         model = _requested_model(attempt)
         if engine.loading:
             return _Answer(engine, attempt, _UNAVAILABLE, refused=True)
--- a/src/verbenawind/standins/row_store.py
+++ b/src/verbenawind/standins/row_store.py
@@ -66,7 +66,7 @@
         """Return the time of the store's clock, in milliseconds."""
         return int(asyncio.get_running_loop().time() * 1000)
 
-    def forget_history(self) -> None:
+    def truncate_history(self) -> None:
         """Truncate the change history, so that every feed has to start over."""
         self._history.clear()
         self._truncated_version = self.version
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -94,7 +94,7 @@
         """If one of three servers stops answering, all requests succeed, nearly all in time."""
 
         async def work(harness: Harness) -> None:
-            harness.engine(0).dark = True
+            harness.engine(0).unresponsive = True
             times = await harness.response_times(100, 0.05)
             assert max(times) < 1.0
             assert sum(took_s <= TARGET_S for took_s in times) >= 97
@@ -141,7 +141,7 @@
 
         async def work(harness: Harness) -> None:
             for index in range(3):
-                harness.engine(index).dark = True
+                harness.engine(index).unresponsive = True
             reply = await harness.ask(kind=RouteKind.NON_IDEMPOTENT, timeout_s=0.5)
             assert isinstance(reply, VerbenawindError)
             assert reply.outcome is Outcome.MAY_HAVE_RUN
@@ -152,7 +152,7 @@
         """If one server is silent and the others are down, the outcome is may_have_run."""
 
         async def work(harness: Harness) -> None:
-            harness.engine(0).dark = True
+            harness.engine(0).unresponsive = True
             harness.engine(1).down = harness.engine(2).down = True
             reply = await harness.ask(timeout_s=0.6)
             assert isinstance(reply, VerbenawindError)
--- a/tests/node/fleet.py
+++ b/tests/node/fleet.py
@@ -32,7 +32,7 @@
 from verbenawind.kernel.row_ports import RowId
 from verbenawind.node import NamedVersion, Node, NodeSettings
 from verbenawind.standins.deployment import run_virtual
-from verbenawind.standins.opaque_engines import OpaqueEngine, OpaqueEngines, text_of
+from verbenawind.standins.opaque_engines import OpaqueEngine, OpaqueEngines, item_text
 from verbenawind.standins.row_store import MemoryRowStore, StoreView
 from verbenawind.state.heartbeats import host_of
 from verbenawind.timings import Timing
@@ -325,7 +325,7 @@
     events = {item.item_id: int(item.body) for item in submission.items}
     assert sorted(result.item_id for result in results) == sorted(events)
     for result in results:
-        assert result.text == text_of(result.item_id, events[result.item_id])
+        assert result.text == item_text(result.item_id, events[result.item_id])
 
 
 def run_fleet(work: Callable[[Fleet], Awaitable[None]], *, seed: int = 1) -> None:
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -171,7 +171,7 @@
             await fleet.start(retention_s=3.0)
             first, _ = fleet.members.values()
             for engine in fleet.engines.engines.values():
-                engine.dark = True
+                engine.unresponsive = True
             submission = job()
             await fleet.submit(first, submission)
             began_s = fleet.clock.monotonic_s()
@@ -207,7 +207,7 @@
             submission = job(events=30)
             await fleet.submit(first, submission)
             await fleet.clock.sleep(0.4)
-            fleet.engines.engines["engine-0"].dark = True
+            fleet.engines.engines["engine-0"].unresponsive = True
             began_s = fleet.clock.monotonic_s()
             check_complete(submission, await fleet.collect(first, submission))
             assert fleet.clock.monotonic_s() - began_s < 3.0
@@ -422,9 +422,9 @@
         async def work(fleet: Fleet) -> None:
             await fleet.start()
             first, second = fleet.members.values()
-            fleet.store.forget_history()
+            fleet.store.truncate_history()
             fleet.name_version(2)
-            fleet.store.forget_history()
+            fleet.store.truncate_history()
             submission = job()
             await fleet.submit(first, submission)
             await fleet.until(lambda: second.node.newest_versions.get(MODEL) == 2)
@@ -626,13 +626,13 @@
             await fleet.start(hosts=2, retention_s=1000.0)
             first, _ = fleet.members.values()
             for engine in fleet.engines.engines.values():
-                engine.dark = True
+                engine.unresponsive = True
             submission = job()
             await fleet.submit(first, submission)
             await fleet.clock.sleep(2 * STATUS_S)
             assert fleet.store.table_parts("batch-jobs") == [submission.job_id]
             for engine in fleet.engines.engines.values():
-                engine.dark = False
+                engine.unresponsive = False
             check_complete(submission, await fleet.collect(first, submission))
 
         run_fleet(work)
