--- a/src/verbenawind/standins/trainer.py
+++ b/src/verbenawind/standins/trainer.py
@@ -22,7 +22,7 @@
 from verbenawind.standins.platform import StandinWeights
 from verbenawind.standins.services import expected_grade
 
-__all__ = ["StandinTrainer", "TrainerCalls", "TrainerReport", "label_faults", "step_prompt"]
+__all__ = ["StandinTrainer", "TrainerCalls", "TrainerReport", "label_errors", "step_prompt"]
 
 _POLL_WAIT_S = 2.0
 
@@ -207,7 +207,7 @@
         self.report.samples[sample.sample_id] += 1
         prompt = self._prompt(sample.step, sample.group)
         seed = sample.step * 1_000_003 + sample.group * 1009 + sample.index
-        if label_faults(sample, self._model, prompt, seed):
+        if label_errors(sample, self._model, prompt, seed):
             self.report.unlabelled += 1
         else:
             staleness = self.version - sample.oldest_version
@@ -231,7 +231,7 @@
             await self._poll()
 
 
-def label_faults(sample: Sample, model: str, prompt: str, seed: int) -> list[str]:
+def label_errors(sample: Sample, model: str, prompt: str, seed: int) -> list[str]:
     """Check a sample's version labels against its tokens and return the errors."""
     faults = []
     position = 0
--- a/tests/rollout/harness.py
+++ b/tests/rollout/harness.py
@@ -18,7 +18,7 @@
     StepSubmission,
 )
 from verbenawind.standins.deployment import Deployment
-from verbenawind.standins.trainer import label_faults
+from verbenawind.standins.trainer import label_errors
 
 TOKEN = "0" * 64
 
@@ -144,7 +144,7 @@
             for sample in group.samples:
                 prompt = f"s{sample.step} g{sample.group}"
                 seed = sample.step * 1_000_003 + sample.group * 1009 + sample.index
-                assert label_faults(sample, "tuner", prompt, seed) == []
+                assert label_errors(sample, "tuner", prompt, seed) == []
                 allowed = self.version - self.model.staleness.max_versions
                 assert sample.oldest_version >= allowed
                 self.counts[sample.sample_id] += 1
