--- a/src/verbenawind/standins/engine_profile.py
+++ b/src/verbenawind/standins/engine_profile.py
@@ -19,7 +19,7 @@
 def natural_length(prompt: str, seed: int, median_tokens: int = 48, sigma: float = 0.8) -> int:
     """Return the log-normal length at which a generation stops by itself, in tokens.
 
-    Prompts that contain LONG_MARK have longer outputs.
+    Prompts that contain LONG_MARKER have longer outputs.
     """
     if LONG_MARKER in prompt:
         median_tokens *= _LONG_OUTPUT_FACTOR
@@ -74,7 +74,7 @@
     """Faults to inject into a stand-in engine.
 
     ``stalled`` stops the batch from progressing; ``unreachable`` refuses connections;
-    ``drop_end_mark`` ends streams without an end marker; ``fail_next_swaps`` is the number of
+    ``drop_end_marker`` ends streams without an end marker; ``fail_next_swaps`` is the number of
     activations that fail midway; ``version_report_lag_s`` is the time after a swap for which the
     status still reports the previous version; ``event_gap_rate`` is the fraction of cache events
     that are lost.
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -27,9 +27,9 @@
 class OpaqueEngine:
     """An in-memory engine and its faults.
 
-    ``down`` refuses connections and breaks streams; ``dark`` leaves every call without a response;
-    ``break_after`` breaks a stream after that many events; requests in ``refuse_items`` get status
-    422, those in ``fail_items`` status 500.
+    ``down`` refuses connections and breaks streams; ``unresponsive`` leaves calls without a
+    response; ``break_after`` breaks a stream after that many events; requests in ``refuse_items``
+    get status 422, those in ``fail_items`` status 500.
 
     Args:
         instance: The engine's entry in the configuration.
