--- a/src/verbenawind/standins/platform.py
+++ b/src/verbenawind/standins/platform.py
@@ -51,7 +51,7 @@
         self._clock = clock
         self._rng = rng
 
-    async def _served(self, what: str, effect: Callable[[], Awaitable[T]]) -> T:
+    async def _run_with_faults(self, what: str, effect: Callable[[], Awaitable[T]]) -> T:
         await asyncio.sleep(0)
         if self.faults.down:
             raise StoreUnavailable(f"{what}: store is down", effect_possible=False)
@@ -81,7 +81,7 @@
             self.reads += 1
             return {key: self.rows[key] for key in keys if key in self.rows}
 
-        return await self._served("read", effect)
+        return await self._run_with_faults("read", effect)
 
     async def scan(self, prefix: str, *, after: str = "", limit: int = 1000) -> Sequence[Row]:
         """Return rows whose keys start with *prefix* and sort after *after*."""
@@ -96,7 +96,7 @@
                     rows.append(self.rows[key])
             return rows
 
-        return await self._served("scan", effect)
+        return await self._run_with_faults("scan", effect)
 
     async def commit(self, transaction: Transaction) -> None:
         """Apply a transaction atomically."""
@@ -109,7 +109,7 @@
             for write in transaction.writes:
                 self._apply(write, transaction.operation_id)
 
-        await self._served("commit", effect)
+        await self._run_with_faults("commit", effect)
 
     def _check_passes(self, write: Write) -> bool:
         if write.expect_version is None:
@@ -149,7 +149,7 @@
             self.written_bytes += len(data)
             self.objects[key] = data
 
-        await self._served("put", effect)
+        await self._run_with_faults("put", effect)
 
     async def get(self, key: str) -> bytes | None:
         """Return the object, or None if there is none."""
@@ -158,7 +158,7 @@
             self.reads += 1
             return self.objects.get(key)
 
-        return await self._served("get", effect)
+        return await self._run_with_faults("get", effect)
 
     async def delete(self, key: str) -> None:
         """Remove an object."""
@@ -167,7 +167,7 @@
             self.writes += 1
             self.objects.pop(key, None)
 
-        await self._served("delete", effect)
+        await self._run_with_faults("delete", effect)
 
 
 class StandinHostList:
--- a/tests/state/test_clients.py
+++ b/tests/state/test_clients.py
@@ -172,14 +172,14 @@
 
         async def work(table: InterferingTable, client: TableClient) -> None:
             asked = 0
-            original = table._served
+            original = table._run_with_faults
 
             async def counted(what: str, effect: Any) -> Any:
                 nonlocal asked
                 asked += 1
                 return await original(what, effect)
 
-            table._served = counted  # type: ignore[method-assign]
+            table._run_with_faults = counted  # type: ignore[method-assign]
             table.faults.down = True
             for _ in range(600):
                 with pytest.raises(StoreUnavailable):
