--- a/src/verbenawind/traces/__main__.py
+++ b/src/verbenawind/traces/__main__.py
@@ -15,7 +15,7 @@
 
 def summary_lines(result: Replay) -> list[str]:
     """Return the lines of a human-readable summary of one replay."""
-    kept = [promise for promise, holds in result.held.items() if holds]
+    kept = [guarantee for guarantee, holds in result.held.items() if holds]
     waited_s = result.waited_s or (0.0,)
     staleness = result.staleness_versions or (0,)
     lines = [
--- a/src/verbenawind/traces/replay.py
+++ b/src/verbenawind/traces/replay.py
@@ -56,9 +56,9 @@
 
     @property
     def held(self) -> dict[Guarantee, bool]:
-        """Whether each promise held."""
-        broken = {violation.promise for violation in self.violations}
-        return {promise: promise not in broken for promise in Guarantee}
+        """Whether each guarantee held."""
+        violated = {violation.promise for violation in self.violations}
+        return {guarantee: guarantee not in violated for guarantee in Guarantee}
 
 
 def replay(trace: Trace) -> Replay:
