--- a/src/verbenawind/standins/simulated_clients.py
+++ b/src/verbenawind/standins/simulated_clients.py
@@ -60,7 +60,7 @@
     """Makes calls to daemons as external clients do and reports the results to the oracle.
 
     Args:
-        world: Simulated deployment.
+        deployment: Simulated deployment.
         document: The environment document.
         daemon_ids: Identifiers of the daemons, in the order of their indices.
     """
