--- a/bench/membership_memory.py
+++ b/bench/membership_memory.py
@@ -17,7 +17,7 @@
 from verbenawind.http_server import HttpServer
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import BackendKind, BackendServer, Location
-from verbenawind.kernel.ports import Outside, SpreadItem
+from verbenawind.kernel.ports import ExternalDependencies, SpreadItem
 from verbenawind.membership import FleetWatcher, GossipBus
 from verbenawind.plugins.backend_clients import PluginBackendClients
 from verbenawind.standins.deployment import Deployment, run_virtual
@@ -86,10 +86,10 @@
 async def _view_memory_mib(seed: int, daemons: int, engines: int) -> float:
     """Return the memory in MiB of a daemon that knows all peers and engines."""
     deployment = Deployment(seed)
-    outside = deployment.outside(Process(deployment.network, "zone-0"))
+    dependencies = deployment.dependencies(Process(deployment.network, "zone-0"))
     tracemalloc.start()
     before_bytes = tracemalloc.get_traced_memory()[0]
-    bus, fleet, _ = _make_fleet_view(outside)
+    bus, fleet, _ = _make_fleet_view(dependencies)
     for number in range(daemons - 1):
         zone = f"zone-{number % _ZONES}"
         body = cbor2.dumps([f"10.0.{number % 256}.{number // 256}:7000", zone, "region", number])
@@ -110,7 +110,7 @@
     return used_bytes / _MIB
 
 
-def _make_fleet_view(outside: Outside) -> tuple[GossipBus, Fleet, FleetWatcher]:
+def _make_fleet_view(dependencies: ExternalDependencies) -> tuple[GossipBus, Fleet, FleetWatcher]:
     location = Location(zone="zone-0", region="region")
     clock = LoopClock(datetime(2026, 1, 1, tzinfo=UTC))
     bus = GossipBus(
@@ -119,18 +119,18 @@
         listen="127.0.0.1:0",
         key=b"the-key-of-the-bench",
         seeds=(),
-        transport=outside.transport,
+        transport=dependencies.transport,
         clock=clock,
-        rng=outside.rng,
+        rng=dependencies.rng,
     )
     fleet = Fleet(clock, location)
     watcher = FleetWatcher(
         fleet=fleet,
-        hosts=outside.hosts,
-        clients=outside.clients,
+        hosts=dependencies.hosts,
+        clients=dependencies.clients,
         peers=bus,
         clock=clock,
-        rng=outside.rng,
+        rng=dependencies.rng,
     )
     return bus, fleet, watcher
 
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -127,7 +127,7 @@
     if not policy.round_robin:
         return core.dispatcher
     return RoundRobinGenerator(
-        core.fleet, core.outside.clients, core.outside.clock, 2 * scale.max_running
+        core.fleet, core.dependencies.clients, core.dependencies.clock, 2 * scale.max_running
     )
 
 
@@ -152,9 +152,9 @@
             generator=_make_generator(core, policy, scale),
             peers=core.peers,
             fleet=core.fleet,
-            clients=core.outside.clients,
-            clock=core.outside.clock,
-            rng=core.outside.rng,
+            clients=core.dependencies.clients,
+            clock=core.dependencies.clock,
+            rng=core.dependencies.rng,
             policy=policy.rollout,
         )
         await core.start()
--- a/bench/routing_harness.py
+++ b/bench/routing_harness.py
@@ -149,19 +149,19 @@
                 profile=profile,
             )
         clock = self.deployment.clock
-        outside = self.deployment.outside(
+        dependencies = self.deployment.dependencies(
             Process(self.deployment.network, self.deployment.locations[0].zone)
         )
         fleet = Fleet(clock, self.deployment.locations[0])
-        self._fleet, self._outside = fleet, outside
+        self._fleet, self._dependencies = fleet, dependencies
         self.dispatcher = Dispatcher(
             fleet=fleet,
-            clients=outside.clients,
+            clients=dependencies.clients,
             clock=clock,
             rng=self.rng,
             configuration=_FixedConfiguration(self.deployment, _document(price_per_gib)),
-            table=outside.table,
-            objects=outside.objects,
+            table=dependencies.table,
+            objects=dependencies.objects,
             peers=FixedPeers(),
             metrics=Metrics(),
             policy=policy,
@@ -241,7 +241,7 @@
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _probe_engines(self) -> None:
-        for host in await self._outside.hosts.hosts():
+        for host in await self._dependencies.hosts.hosts():
             self._fleet.add(
                 BackendServer(
                     server_id=host.host_id,
@@ -257,7 +257,7 @@
 
     async def _probe(self, view: ServerView) -> None:
         try:
-            self._fleet.observe(await self._outside.clients.engine(view.server).status())
+            self._fleet.observe(await self._dependencies.clients.engine(view.server).status())
         except VerbenawindError:
             self._fleet.suspect(view.server.server_id, _SUSPICION_S)
 
--- a/src/verbenawind/daemon.py
+++ b/src/verbenawind/daemon.py
@@ -17,7 +17,7 @@
 from verbenawind.http_server import HttpServer
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import Location
-from verbenawind.kernel.ports import Outside
+from verbenawind.kernel.ports import ExternalDependencies
 from verbenawind.logs import configure_logs
 from verbenawind.membership import FleetWatcher, GossipBus
 from verbenawind.metrics import Metrics
@@ -37,7 +37,7 @@
 from verbenawind.traces import LiveRecording
 from verbenawind.weights import WeightsController
 
-__all__ = ["Core", "Daemon", "connect_outside", "run"]
+__all__ = ["Core", "Daemon", "connect_dependencies", "run"]
 
 _EXIT_SETTINGS_INVALID = 2
 _INITIAL_VIEW_TIMEOUT_S = 3.0
@@ -52,22 +52,22 @@
         outside: Adapters to external systems.
     """
 
-    def __init__(self, settings: DaemonSettings, outside: Outside) -> None:
-        clock, rng = outside.clock, outside.rng
+    def __init__(self, settings: DaemonSettings, dependencies: ExternalDependencies) -> None:
+        clock, rng = dependencies.clock, dependencies.rng
         self.settings = settings
-        self.outside = outside
+        self.dependencies = dependencies
         self.metrics = Metrics()
         self.decisions = DecisionRecord(settings.limits.max_explained_requests)
         self.fleet = Fleet(clock, Location(zone=settings.zone, region=settings.region))
-        self.table = TableClient(outside.table, clock, rng)
-        self.objects = ObjectClient(outside.objects, clock, rng)
+        self.table = TableClient(dependencies.table, clock, rng)
+        self.objects = ObjectClient(dependencies.objects, clock, rng)
         self.peers = GossipBus(
             peer_id=settings.daemon_id,
             location=self.fleet.location,
             listen=settings.peer_listen,
             key=settings.peer_key.encode(),
             seeds=settings.peer_seeds,
-            transport=outside.transport,
+            transport=dependencies.transport,
             clock=clock,
             rng=rng,
         )
@@ -83,7 +83,7 @@
         self.configuration = ConfigurationStore(self.table, clock, rng=rng, peers=self.peers)
         self.dispatcher = Dispatcher(
             fleet=self.fleet,
-            clients=outside.clients,
+            clients=dependencies.clients,
             clock=clock,
             rng=rng,
             configuration=self.configuration,
@@ -95,8 +95,8 @@
         )
         self.watcher = FleetWatcher(
             fleet=self.fleet,
-            hosts=outside.hosts,
-            clients=outside.clients,
+            hosts=dependencies.hosts,
+            clients=dependencies.clients,
             peers=self.peers,
             clock=clock,
             rng=rng,
@@ -108,16 +108,16 @@
             generator=self.dispatcher,
             peers=self.peers,
             fleet=self.fleet,
-            clients=outside.clients,
+            clients=dependencies.clients,
             clock=clock,
             rng=rng,
             metrics=self.metrics,
         )
         self.weights = WeightsController(
             fleet=self.fleet,
-            clients=outside.clients,
+            clients=dependencies.clients,
             table=self.table,
-            store=outside.weights,
+            store=dependencies.weights,
             leases=self.leases,
             peers=self.peers,
             configuration=self.configuration,
@@ -148,7 +148,7 @@
             ("weights", self.weights.run),
             ("configuration", self.configuration.run),
         ):
-            supervised = supervise(name, work, self.outside.clock)
+            supervised = supervise(name, work, self.dependencies.clock)
             self._tasks.append(asyncio.get_running_loop().create_task(supervised))
         self.ready = True
 
@@ -217,10 +217,10 @@
         outside: Adapters to external systems.
     """
 
-    def __init__(self, settings: DaemonSettings, outside: Outside) -> None:
-        self.core = Core(settings, outside)
-        if isinstance(outside.clients, PluginBackendClients):
-            self.core.configuration.subscribe(outside.clients.apply)
+    def __init__(self, settings: DaemonSettings, dependencies: ExternalDependencies) -> None:
+        self.core = Core(settings, dependencies)
+        if isinstance(dependencies.clients, PluginBackendClients):
+            self.core.configuration.subscribe(dependencies.clients.apply)
         self._recording = _recording(self.core, settings.trace_file)
         recorder = self._recording.recorder if self._recording else None
         services = ApiServices(
@@ -233,7 +233,7 @@
             peers=self.core.peers,
             decisions=self.core.decisions,
             metrics=self.core.metrics,
-            clock=outside.clock,
+            clock=dependencies.clock,
             ready=lambda: self.core.ready,
         )
         self.core.peers.on_call(EXPLAIN_CALL, partial(answer_explain_call, services))
@@ -264,7 +264,7 @@
     async def stop(self) -> None:
         """Become unready, let requests in flight finish, then stop."""
         self.core.ready = False
-        await self.core.outside.clock.sleep(self.core.settings.unready_grace_s)
+        await self.core.dependencies.clock.sleep(self.core.settings.unready_grace_s)
         self._guard.draining = True
         await asyncio.gather(self._server.stop(), self.core.rollouts.stop())
         await self.core.dispatcher.drain()
@@ -283,7 +283,7 @@
         return None
     return LiveRecording(
         path,
-        core.outside.clock,
+        core.dependencies.clock,
         fleet=core.fleet,
         peers=core.peers,
         configuration=core.configuration,
@@ -293,10 +293,10 @@
     )
 
 
-def connect_outside(settings: DaemonSettings) -> Outside:
+def connect_dependencies(settings: DaemonSettings) -> ExternalDependencies:
     """Create the adapters to the external systems named in the settings."""
     url = settings.platform_url
-    return Outside(
+    return ExternalDependencies(
         clock=SystemClock(),
         rng=Random(),
         table=HttpTableStore(url),
@@ -310,7 +310,7 @@
 
 async def serve(settings: DaemonSettings) -> None:
     """Run a daemon until SIGTERM or SIGINT, then shut it down gracefully."""
-    daemon = Daemon(settings, connect_outside(settings))
+    daemon = Daemon(settings, connect_dependencies(settings))
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopping.set)
--- a/src/verbenawind/kernel/ports.py
+++ b/src/verbenawind/kernel/ports.py
@@ -43,12 +43,12 @@
     "BackendClients",
     "Configuration",
     "EngineClient",
+    "ExternalDependencies",
     "Generator",
     "HostList",
     "Lease",
     "Leases",
     "ObjectStore",
-    "Outside",
     "Peer",
     "PeerBus",
     "PeerChannel",
@@ -66,7 +66,7 @@
 ]
 
 
-class Outside:
+class ExternalDependencies:
     """The external dependencies of a daemon; tests replace them with stand-ins.
 
     Args:
--- a/src/verbenawind/standins/demo_deployment.py
+++ b/src/verbenawind/standins/demo_deployment.py
@@ -6,7 +6,7 @@
 from litestar import Litestar
 
 from verbenawind.clock import SystemClock
-from verbenawind.daemon import Daemon, connect_outside
+from verbenawind.daemon import Daemon, connect_dependencies
 from verbenawind.http_server import HttpServer
 from verbenawind.ids import digest_hex
 from verbenawind.kernel.messages import HostEntry, HostRole, Location
@@ -168,8 +168,8 @@
             unready_grace_s=0.1,
         )
         process = IsolatedProcess(self.network, location.zone)
-        outside = isolate(connect_outside(settings), process, location, self.meter)
-        daemon = Daemon(settings, outside)
+        dependencies = isolate(connect_dependencies(settings), process, location, self.meter)
+        daemon = Daemon(settings, dependencies)
         await daemon.start()
         return daemon
 
--- a/src/verbenawind/standins/deployment.py
+++ b/src/verbenawind/standins/deployment.py
@@ -13,7 +13,12 @@
 from verbenawind.document import EnvironmentDocument, EnvironmentRevision, Stage
 from verbenawind.ids import digest_hex
 from verbenawind.kernel.messages import BackendServer, HostEntry, HostRole, Location
-from verbenawind.kernel.ports import EngineClient, Outside, ScoringClient, ServiceClient
+from verbenawind.kernel.ports import (
+    EngineClient,
+    ExternalDependencies,
+    ScoringClient,
+    ServiceClient,
+)
 from verbenawind.settings import DaemonSettings
 from verbenawind.standins.engine import EngineProfile, StandinEngine
 from verbenawind.standins.network import (
@@ -130,14 +135,14 @@
             peer_seeds=seeds,
         )
         process = Process(self.network, location.zone)
-        core = Core(settings, self.outside(process))
+        core = Core(settings, self.dependencies(process))
         self.daemons[daemon_id] = core
         self.processes[daemon_id] = process
         return core
 
-    def outside(self, process: Process) -> Outside:
+    def dependencies(self, process: Process) -> ExternalDependencies:
         """Return the external dependencies of a process, accessed over the simulated network."""
-        return Outside(
+        return ExternalDependencies(
             clock=PausableClock(self.clock, process),
             rng=Random(self.rng.random()),
             table=NetworkTable(process, self.table),
--- a/src/verbenawind/standins/isolation.py
+++ b/src/verbenawind/standins/isolation.py
@@ -12,7 +12,7 @@
 )
 from verbenawind.kernel.ports import (
     EngineClient,
-    Outside,
+    ExternalDependencies,
     PeerChannel,
     PeerTransport,
     ScoringClient,
@@ -60,18 +60,21 @@
 
 
 def isolate(
-    outside: Outside, process: IsolatedProcess, location: Location, meter: TrafficMeter
-) -> Outside:
+    dependencies: ExternalDependencies,
+    process: IsolatedProcess,
+    location: Location,
+    meter: TrafficMeter,
+) -> ExternalDependencies:
     """Return *outside* with every call routed through the process's simulated network."""
-    return Outside(
-        clock=outside.clock,
-        rng=outside.rng,
-        table=NetworkTable(process, outside.table),
-        objects=NetworkObjects(process, outside.objects),
-        hosts=NetworkHosts(process, outside.hosts),
-        weights=NetworkWeights(process, outside.weights),
+    return ExternalDependencies(
+        clock=dependencies.clock,
+        rng=dependencies.rng,
+        table=NetworkTable(process, dependencies.table),
+        objects=NetworkObjects(process, dependencies.objects),
+        hosts=NetworkHosts(process, dependencies.hosts),
+        weights=NetworkWeights(process, dependencies.weights),
         clients=_IsolatedClients(process, location, meter),
-        transport=_IsolatedTransport(process, outside.transport),
+        transport=_IsolatedTransport(process, dependencies.transport),
     )
 
 
--- a/tests/api/test_explain.py
+++ b/tests/api/test_explain.py
@@ -14,7 +14,7 @@
 from verbenawind.decisions import DecisionRecord, record_decision_line
 from verbenawind.document import Stage
 from verbenawind.ids import digest_hex
-from verbenawind.kernel.ports import Outside
+from verbenawind.kernel.ports import ExternalDependencies
 from verbenawind.logs import configure_logs
 from verbenawind.plugins.peer_websocket import WebSocketPeerTransport
 from verbenawind.settings import DaemonSettings
@@ -140,7 +140,9 @@
 
 async def start_daemon(deployment: Deployment, daemon_id: str, seeds: tuple[str, ...]) -> Daemon:
     """Start a daemon with real websocket peer links."""
-    outside = deployment.outside(Process(deployment.network, deployment.locations[0].zone))
+    dependencies = deployment.dependencies(
+        Process(deployment.network, deployment.locations[0].zone)
+    )
     settings = DaemonSettings(
         daemon_id=daemon_id,
         zone=deployment.locations[0].zone,
@@ -154,14 +156,14 @@
     )
     daemon = Daemon(
         settings,
-        Outside(
-            clock=outside.clock,
+        ExternalDependencies(
+            clock=dependencies.clock,
             rng=Random(daemon_id),
-            table=outside.table,
-            objects=outside.objects,
-            hosts=outside.hosts,
-            weights=outside.weights,
-            clients=outside.clients,
+            table=dependencies.table,
+            objects=dependencies.objects,
+            hosts=dependencies.hosts,
+            weights=dependencies.weights,
+            clients=dependencies.clients,
             transport=WebSocketPeerTransport(),
         ),
     )
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -58,7 +58,7 @@
             **{name: getattr(core.settings, name) for name in core.settings.__struct_fields__}
             | {"limits": limits}
         )
-        self.daemon = Daemon(settings, self.deployment.outside(process))
+        self.daemon = Daemon(settings, self.deployment.dependencies(process))
 
     @property
     def url(self) -> str:
--- a/tests/membership/test_watching.py
+++ b/tests/membership/test_watching.py
@@ -121,7 +121,7 @@
             deployment.weights.put("tuner", 4)
             view = cores[0].fleet.view("engine-0")
             assert view is not None
-            client = cores[0].outside.clients.engine(view.server)
+            client = cores[0].dependencies.clients.engine(view.server)
             order = EngineOrder(
                 order_id="o",
                 kind=OrderKind.ACTIVATE,
--- a/tests/routing/generations.py
+++ b/tests/routing/generations.py
@@ -94,7 +94,7 @@
         prompt=prompt,
         max_tokens=max_tokens,
         seed=sum(request_id.encode()),
-        deadline_s=core.outside.clock.monotonic_s() + timeout_s,
+        deadline_s=core.dependencies.clock.monotonic_s() + timeout_s,
         reconnect=reconnect,
     )
 
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -44,7 +44,7 @@
         query="",
         headers={},
         body=body,
-        deadline_s=core.outside.clock.monotonic_s() + timeout_s,
+        deadline_s=core.dependencies.clock.monotonic_s() + timeout_s,
         idempotent=idempotent,
         idempotency_key=key,
     )
--- a/tests/state/test_partition.py
+++ b/tests/state/test_partition.py
@@ -56,7 +56,7 @@
         prompt="fold",
         max_tokens=16,
         seed=1,
-        deadline_s=core.outside.clock.monotonic_s() + ANSWER_S,
+        deadline_s=core.dependencies.clock.monotonic_s() + ANSWER_S,
     )
     events = [event async for event in core.dispatcher.generate(request)]
     assert isinstance(events[-1], GenerationEnded)
