--- a/src/verbenawind/daemon.py
+++ b/src/verbenawind/daemon.py
@@ -49,7 +49,7 @@
 
     Args:
         settings: The daemon's settings.
-        outside: Adapters to external systems.
+        dependencies: Adapters to external systems.
     """
 
     def __init__(self, settings: DaemonSettings, dependencies: ExternalDependencies) -> None:
@@ -214,7 +214,7 @@
 
     Args:
         settings: The daemon's settings.
-        outside: Adapters to external systems.
+        dependencies: Adapters to external systems.
     """
 
     def __init__(self, settings: DaemonSettings, dependencies: ExternalDependencies) -> None:
--- a/src/verbenawind/standins/isolation.py
+++ b/src/verbenawind/standins/isolation.py
@@ -65,7 +65,7 @@
     location: Location,
     meter: TrafficMeter,
 ) -> ExternalDependencies:
-    """Return *outside* with every call routed through the process's simulated network."""
+    """Return *dependencies* with every call routed through the process's simulated network."""
     return ExternalDependencies(
         clock=dependencies.clock,
         rng=dependencies.rng,
