--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -12,7 +12,7 @@
 from verbenawind.batches.types import JobRecord
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.state.heartbeats import HostHeartbeats, host_of
 
 __all__ = ["JobTakeover", "claim_delay_s"]
@@ -28,7 +28,7 @@
 
 def claim_delay_s(job_id: str, host: str, claimants: Sequence[str]) -> float:
     """Return how long a host waits before it claims a job, by its rank among the claimants."""
-    order = top(job_id, claimants, _MAX_RANKED)
+    order = top_members(job_id, claimants, _MAX_RANKED)
     rank = order.index(host) if host in order else _MAX_RANKED
     return rank * _RANK_DELAY_S
 
--- a/src/verbenawind/kernel/rendezvous.py
+++ b/src/verbenawind/kernel/rendezvous.py
@@ -4,10 +4,10 @@
 
 import xxhash
 
-__all__ = ["owner", "top"]
+__all__ = ["owner", "top_members"]
 
 
-def top(key: str, members: Iterable[str], count: int) -> list[str]:
+def top_members(key: str, members: Iterable[str], count: int) -> list[str]:
     """Return the *count* members with the highest scores for *key*, best first."""
     return sorted(members, key=lambda member: _score(key, member), reverse=True)[:count]
 
--- a/src/verbenawind/membership/fleet_watcher.py
+++ b/src/verbenawind/membership/fleet_watcher.py
@@ -13,7 +13,7 @@
 from verbenawind.kernel import Fleet, ServerView
 from verbenawind.kernel.messages import BackendKind, EngineStatus, ModelStatus, SwapState
 from verbenawind.kernel.ports import BackendClients, HostList, SpreadItem
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.membership.bus import GossipBus
 from verbenawind.membership.server_directory import ServerDirectory
 
@@ -155,7 +155,7 @@
             if not self._directory.is_responsible_for(zone):
                 continue
             others = zones.get(zone, ()) if zone == own_zone else all_peer_ids
-            watchers = top(server_id, [*others, own_id], count)
+            watchers = top_members(server_id, [*others, own_id], count)
             if own_id in watchers:
                 assigned.append(server_id)
         return assigned
--- a/src/verbenawind/membership/server_directory.py
+++ b/src/verbenawind/membership/server_directory.py
@@ -20,7 +20,7 @@
     Location,
 )
 from verbenawind.kernel.ports import HostList, SpreadItem
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.membership.bus import GossipBus
 from verbenawind.membership.dialler import Seed
 
@@ -107,7 +107,7 @@
         if len(ids) <= _MAX_SHOWN_TO_OTHER_ZONES:
             return True
         key = f"{server.location.zone}/{server.group}"
-        return server.server_id in top(key, ids, _MAX_SHOWN_TO_OTHER_ZONES)
+        return server.server_id in top_members(key, ids, _MAX_SHOWN_TO_OTHER_ZONES)
 
     def is_responsible_for(self, zone: str) -> bool:
         """Return whether this daemon publishes a zone's servers: its own or one without daemons."""
@@ -142,7 +142,7 @@
     def _period_s(self) -> float:
         own_id, zone = self._peers.peer_id, self._fleet.location.zone
         daemons = [*self._peers.roster.by_zone().get(zone, ()), own_id]
-        if own_id in top(f"hosts/{zone}", daemons, _READERS_PER_ZONE):
+        if own_id in top_members(f"hosts/{zone}", daemons, _READERS_PER_ZONE):
             return _READER_PERIOD_S
         return _NON_READER_PERIOD_S
 
--- a/src/verbenawind/membership/topology.py
+++ b/src/verbenawind/membership/topology.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 
 __all__ = ["bridge_targets", "zone_targets"]
 
@@ -34,9 +34,9 @@
     for zone, members in members_by_zone.items():
         if zone == own_zone or not members:
             continue
-        bridges = top(zone, own_zone_ids, _BRIDGES_PER_ZONE_PAIR)
+        bridges = top_members(zone, own_zone_ids, _BRIDGES_PER_ZONE_PAIR)
         if own_id in bridges:
-            remote_bridges = top(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
+            remote_bridges = top_members(own_zone, members, _BRIDGES_PER_ZONE_PAIR)
             targets[zone] = remote_bridges[bridges.index(own_id) % len(remote_bridges)]
     return targets
 
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -38,7 +38,7 @@
 )
 from verbenawind.ids import new_id
 from verbenawind.kernel.messages import Location, Value
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow
 from verbenawind.state.heartbeats import HOSTS_TABLE, HostHeartbeat, HostHeartbeats
 from verbenawind.state.row_lease import RowLease
@@ -367,10 +367,10 @@
     # Callbacks of the components.
 
     def _is_sweeper_of(self, job_id: str) -> bool:
-        return top(job_id, self.heartbeats.claimants([]), 1) == [self._settings.host]
+        return top_members(job_id, self.heartbeats.claimants([]), 1) == [self._settings.host]
 
     def _lease_rank(self) -> int:
-        ranking = top(_LEASE_KEY, self.heartbeats.claimants([]), _RANKED_HOSTS)
+        ranking = top_members(_LEASE_KEY, self.heartbeats.claimants([]), _RANKED_HOSTS)
         host = self._settings.host
         return ranking.index(host) if host in ranking else _RANKED_HOSTS
 
--- a/src/verbenawind/rollout/trainer_lease.py
+++ b/src/verbenawind/rollout/trainer_lease.py
@@ -3,7 +3,7 @@
 import structlog
 
 from verbenawind.kernel.ports import Lease
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.rollout.commits import TrainerContext
 from verbenawind.rollout.holder_dependencies import HolderDependencies
 
@@ -88,4 +88,4 @@
         """
         own_id = self._dependencies.peers.peer_id
         daemon_ids = [own_id, *(peer.peer_id for peer in self._dependencies.peers.peers())]
-        return own_id in top(self._lease_name, daemon_ids, _CANDIDATES)
+        return own_id in top_members(self._lease_name, daemon_ids, _CANDIDATES)
--- a/src/verbenawind/routing/pool_members.py
+++ b/src/verbenawind/routing/pool_members.py
@@ -3,7 +3,7 @@
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import BackendKind
 from verbenawind.kernel.ports import PeerBus
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.routing.prefixes import PrefixTable
 from verbenawind.routing.server_choice import distance
 
@@ -97,8 +97,8 @@
     def _select(self, tier_distance: int, ids: tuple[str, ...]) -> list[str]:
         own = self._peers.peer_id
         if tier_distance:
-            return sorted(top(own, ids, _MAX_PER_REMOTE_TIER))
+            return sorted(top_members(own, ids, _MAX_PER_REMOTE_TIER))
         if len(ids) <= _MAX_SHARED_BY_ALL:
             return list(ids)
         daemons = _DAEMONS_PER_ENGINE
-        return [item for item in ids if own in top(item, self._zone_daemons, daemons)]
+        return [item for item in ids if own in top_members(item, self._zone_daemons, daemons)]
--- a/src/verbenawind/routing/prefixes.py
+++ b/src/verbenawind/routing/prefixes.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 
 __all__ = ["PrefixTable", "prefix_slot"]
 
@@ -37,5 +37,5 @@
         """Return the preferred engines of a slot, best first."""
         engines = self._slots.get(slot)
         if engines is None:
-            engines = self._slots[slot] = top(str(slot), self.members, self._count)
+            engines = self._slots[slot] = top_members(str(slot), self.members, self._count)
         return engines
--- a/src/verbenawind/state/contention.py
+++ b/src/verbenawind/state/contention.py
@@ -6,7 +6,7 @@
 
 from verbenawind.clock import Clock
 from verbenawind.kernel.ports import PeerBus, SpreadItem
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 
 __all__ = ["Contention"]
 
@@ -159,7 +159,7 @@
         return max(standby_period_s, self._rng.uniform(0.5, 1.5) * _BACKGROUND_READ_PERIOD_S)
 
     def _standbys(self, name: str, owner: str, contenders: set[str]) -> set[str]:
-        return set(top(name, contenders - {owner}, _STANDBYS))
+        return set(top_members(name, contenders - {owner}, _STANDBYS))
 
     def _contenders(self, zone_only: bool) -> set[str]:
         others = {
--- a/src/verbenawind/weights/controller.py
+++ b/src/verbenawind/weights/controller.py
@@ -14,7 +14,7 @@
     TableStore,
     WeightStore,
 )
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 from verbenawind.weights.budget import StagingBudget
 from verbenawind.weights.plan import Target, swap_limit
 from verbenawind.weights.shard_controller import ShardController
@@ -142,7 +142,7 @@
         zone = self._fleet.location.zone
         name = lease_name(zone, shard)
         zone_peers = [peer.peer_id for peer in self._peers.peers() if peer.location.zone == zone]
-        if self._peers.peer_id not in top(
+        if self._peers.peer_id not in top_members(
             name, [*zone_peers, self._peers.peer_id], _LEASE_CANDIDATES
         ):
             return
--- a/src/verbenawind/weights/rolling.py
+++ b/src/verbenawind/weights/rolling.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 
 from verbenawind.kernel.messages import Value
-from verbenawind.kernel.rendezvous import top
+from verbenawind.kernel.rendezvous import top_members
 
 __all__ = [
     "EngineLoadState",
@@ -151,7 +151,7 @@
         lag: How many versions behind the newest batch jobs usually accept.
     """
     count = math.ceil(len(engines) * (lag + 1) / max(1, models))
-    return frozenset(top(model, engines, count))
+    return frozenset(top_members(model, engines, count))
 
 
 def plan_loads(models: Sequence[ModelEngines], *, pool_size: int) -> LoadPlan:
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -12,7 +12,7 @@
     TokensGenerated,
     WorkKind,
 )
-from verbenawind.kernel.rendezvous import owner, top
+from verbenawind.kernel.rendezvous import owner, top_members
 from verbenawind.routing.attempts import check_event
 from verbenawind.routing.caller_limits import CallerLimits
 from verbenawind.routing.fair_queue import FairQueue
@@ -296,4 +296,4 @@
         members = [f"engine-{index}" for index in range(20)]
         tables = [PrefixTable(members, 3), PrefixTable(members[::-1], 3)]
         assert all(tables[0].preferred(slot) == tables[1].preferred(slot) for slot in range(50))
-        assert len(set(top("key", members, 3))) == 3
+        assert len(set(top_members("key", members, 3))) == 3
