--- a/src/verbenawind/kernel/row_ports.py
+++ b/src/verbenawind/kernel/row_ports.py
@@ -6,7 +6,7 @@
 from verbenawind.kernel.messages import Value
 
 __all__ = [
-    "Changes",
+    "RowChanges",
     "RowCheck",
     "RowId",
     "RowPage",
@@ -79,7 +79,7 @@
     has_more: bool = False
 
 
-class Changes(Value, frozen=True, kw_only=True):
+class RowChanges(Value, frozen=True, kw_only=True):
     """Changed rows in order; the feed continues after ``version``."""
 
     rows: tuple[StoredRow, ...]
@@ -115,7 +115,7 @@
     async def parts(self, table: str, timeout_s: float) -> Sequence[str]:
         """Return the partitions of a table that hold rows."""
 
-    async def changes(self, table: str, after: int, wait_s: float) -> Changes:
+    async def changes(self, table: str, after: int, wait_s: float) -> RowChanges:
         """Return the changes of a table after a version, waiting up to *wait_s* for the first.
 
         Raises:
--- a/src/verbenawind/platform/store.py
+++ b/src/verbenawind/platform/store.py
@@ -18,7 +18,7 @@
     StoreUnavailable,
 )
 from verbenawind.kernel.row_ports import (
-    Changes,
+    RowChanges,
     RowId,
     RowPage,
     RowTransaction,
@@ -174,7 +174,7 @@
             if not page.has_more or not page.parts:
                 return parts
 
-    async def changes(self, table: str, after: int, wait_s: float) -> Changes:
+    async def changes(self, table: str, after: int, wait_s: float) -> RowChanges:
         """Long-poll for the changes to a table after a version.
 
         Raises:
@@ -189,7 +189,7 @@
         if reply.status == _GONE:
             raise HistoryLost(f"the store has no history of {table} since version {after}")
         page = self._decode_page(reply.body)
-        return Changes(
+        return RowChanges(
             rows=tuple(row.decode() for row in page.rows), version=page.ver, store_ms=page.now_ms
         )
 
--- a/src/verbenawind/standins/row_store.py
+++ b/src/verbenawind/standins/row_store.py
@@ -6,7 +6,7 @@
 
 from verbenawind.errors import HistoryLost, RowConflict, StoreUnavailable
 from verbenawind.kernel.row_ports import (
-    Changes,
+    RowChanges,
     RowId,
     RowPage,
     RowTransaction,
@@ -132,7 +132,7 @@
         """Return the partitions of a table."""
         return sorted({row_id.part for row_id in self._rows if row_id.table == table})
 
-    async def wait_for_changes(self, table: str, after: int, wait_s: float) -> Changes:
+    async def wait_for_changes(self, table: str, after: int, wait_s: float) -> RowChanges:
         """Return the changes of a table after a version, waiting for the first one."""
         deadline_s = asyncio.get_running_loop().time() + wait_s
         while True:
@@ -143,7 +143,7 @@
             ]
             remaining_s = deadline_s - asyncio.get_running_loop().time()
             if rows or remaining_s <= _MIN_WAIT_S:
-                return Changes(rows=tuple(rows), version=self.version, store_ms=self.store_ms())
+                return RowChanges(rows=tuple(rows), version=self.version, store_ms=self.store_ms())
             try:
                 async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
@@ -241,7 +241,7 @@
         await self._simulate_response(timeout_s)
         return self._store.table_parts(table)
 
-    async def changes(self, table: str, after: int, wait_s: float) -> Changes:
+    async def changes(self, table: str, after: int, wait_s: float) -> RowChanges:
         """Return the changes of a table after a version."""
         await self._simulate_response(wait_s + 1.0)
         changes = await self._store.wait_for_changes(table, after, wait_s)
