--- a/src/verbenawind/batches/job_store.py
+++ b/src/verbenawind/batches/job_store.py
@@ -320,7 +320,7 @@
                 for result in rows:
                     await self._drop_text_objects(table, result.value, timeout_s)
                 await self._delete([(row.row_id, row.version) for row in rows], timeout_s)
-        await self._store.drop_object(_submission_object(job_id), timeout_s)
+        await self._store.delete_object(_submission_object(job_id), timeout_s)
         await self._delete([(_job_row(job_id), job.version)], timeout_s)
 
     async def _delete(self, rows: Sequence[tuple[RowId, int]], timeout_s: float) -> None:
@@ -334,7 +334,7 @@
             return
         for result in msgspec.msgpack.decode(value, type=list[_StoredResult]):
             if result.text_object:
-                await self._store.drop_object(result.text_object, timeout_s)
+                await self._store.delete_object(result.text_object, timeout_s)
 
     async def _pack_row(
         self, job_id: str, results: Sequence[ItemResult], timeout_s: float
--- a/src/verbenawind/kernel/row_ports.py
+++ b/src/verbenawind/kernel/row_ports.py
@@ -125,7 +125,7 @@
     async def put_object(self, name: str, data: bytes, timeout_s: float) -> None:
         """Store an object unless one with this name exists."""
 
-    async def drop_object(self, name: str, timeout_s: float) -> None:
+    async def delete_object(self, name: str, timeout_s: float) -> None:
         """Delete an object, if it exists."""
 
     async def get_object(self, name: str, timeout_s: float) -> bytes | None:
--- a/src/verbenawind/platform/store.py
+++ b/src/verbenawind/platform/store.py
@@ -209,7 +209,7 @@
         reply, _ = await self._call(call, timeout_s, attempt_limit_s=2 * self._direct_timeout_s)
         return None if reply.status == _NOT_FOUND else reply.body
 
-    async def drop_object(self, name: str, timeout_s: float) -> None:
+    async def delete_object(self, name: str, timeout_s: float) -> None:
         """Delete an object if it exists."""
         call = StoreCall(method="DELETE", target=f"/api/blob-drop/{quote(name, safe='')}")
         await self._call(call, timeout_s, attempt_limit_s=2 * self._direct_timeout_s, writes=True)
--- a/src/verbenawind/standins/row_store.py
+++ b/src/verbenawind/standins/row_store.py
@@ -253,7 +253,7 @@
         await self._simulate_response(timeout_s)
         self._store.objects().setdefault(name, data)
 
-    async def drop_object(self, name: str, timeout_s: float) -> None:
+    async def delete_object(self, name: str, timeout_s: float) -> None:
         """Delete an object."""
         await self._simulate_response(timeout_s)
         self._store.objects().pop(name, None)
