--- a/src/verbenawind/batches/job_store.py
+++ b/src/verbenawind/batches/job_store.py
@@ -20,7 +20,7 @@
     RowStore,
     RowTransaction,
     RowWrite,
-    replacement,
+    replacement_transaction,
 )
 
 __all__ = ["JOBS_TABLE", "JobStore", "KeptText", "StoredJob", "Tail", "decode_job"]
@@ -117,7 +117,7 @@
         row_id = _job_row(record.job_id)
         try:
             version = await self._store.commit(
-                replacement(row_id, 0, msgspec.json.encode(record)), timeout_s
+                replacement_transaction(row_id, 0, msgspec.json.encode(record)), timeout_s
             )
         except RowConflict:
             existing = await self.job(record.job_id, timeout_s)
@@ -153,7 +153,7 @@
         """
         row_id = _job_row(record.job_id)
         version = await self._store.commit(
-            replacement(row_id, job.version, msgspec.json.encode(record)), timeout_s
+            replacement_transaction(row_id, job.version, msgspec.json.encode(record)), timeout_s
         )
         return StoredJob(record=record, version=version)
 
--- a/src/verbenawind/kernel/row_ports.py
+++ b/src/verbenawind/kernel/row_ports.py
@@ -14,7 +14,7 @@
     "RowTransaction",
     "RowWrite",
     "StoredRow",
-    "replacement",
+    "replacement_transaction",
 ]
 
 
@@ -59,7 +59,7 @@
     writes: tuple[RowWrite, ...]
 
 
-def replacement(row_id: RowId, version: int, value: bytes) -> RowTransaction:
+def replacement_transaction(row_id: RowId, version: int, value: bytes) -> RowTransaction:
     """Return a transaction that replaces a row of the given version, or creates it for 0."""
     return RowTransaction(
         checks=(RowCheck(row_id=row_id, version=version),),
--- a/src/verbenawind/state/heartbeats.py
+++ b/src/verbenawind/state/heartbeats.py
@@ -13,7 +13,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.kernel.messages import Location, Value
-from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement
+from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement_transaction
 
 __all__ = ["HOSTS_TABLE", "HostHeartbeat", "HostHeartbeats", "host_of"]
 
@@ -243,7 +243,7 @@
         for _ in range(2):
             try:
                 self._version = await self._store.commit(
-                    replacement(row_id, self._version, value), _WRITE_TIMEOUT_S
+                    replacement_transaction(row_id, self._version, value), _WRITE_TIMEOUT_S
                 )
                 return
             except RowConflict as conflict:
--- a/src/verbenawind/state/row_lease.py
+++ b/src/verbenawind/state/row_lease.py
@@ -15,7 +15,7 @@
 from verbenawind.clock import Clock
 from verbenawind.errors import RowConflict, StoreUnavailable
 from verbenawind.kernel.messages import Value
-from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement
+from verbenawind.kernel.row_ports import RowId, RowStore, StoredRow, replacement_transaction
 from verbenawind.state.heartbeats import host_of
 
 __all__ = ["RowLease"]
@@ -266,7 +266,7 @@
 
     async def _write(self, record: _LeaseRecord) -> None:
         version = await self._store.commit(
-            replacement(self._row_id, self._version, msgspec.json.encode(record)),
+            replacement_transaction(self._row_id, self._version, msgspec.json.encode(record)),
             _WRITE_TIMEOUT_S,
         )
         self._version = max(self._version, version)
