--- a/src/verbenawind/kernel/fleet.py
+++ b/src/verbenawind/kernel/fleet.py
@@ -98,7 +98,7 @@
         for listener in self._observation_listeners:
             listener(status)
 
-    def learn(self, status: EngineStatus) -> None:
+    def apply_peer_status(self, status: EngineStatus) -> None:
         """Apply a status observed by a peer.
 
         It is ignored while this daemon's own observation is recent, unless it says that the engine
--- a/src/verbenawind/membership/fleet_watcher.py
+++ b/src/verbenawind/membership/fleet_watcher.py
@@ -260,7 +260,7 @@
             return
         self._ranks[item.key] = item.rank
         self._merged_at_s[item.key] = self._clock.monotonic_s()
-        self._fleet.learn(_status(item))
+        self._fleet.apply_peer_status(_status(item))
 
     def _on_server(self, item: SpreadItem) -> None:
         """Apply a status that arrived before its server became known."""
@@ -270,7 +270,7 @@
             return
         status = self._known_status(item.key)
         if view.status is None and status is not None:
-            self._fleet.learn(status)
+            self._fleet.apply_peer_status(status)
 
     def _forget(self, server_id: str) -> None:
         """Drop the status of a server that is gone, but keep its rank in case it returns."""
