--- a/src/verbenawind/kernel/fleet.py
+++ b/src/verbenawind/kernel/fleet.py
@@ -77,13 +77,13 @@
         if known is not None and known.server.incarnation >= server.incarnation:
             return known
         if known is not None:
-            self.forget(server.server_id)
+            self.remove(server.server_id)
         view = ServerView(server)
         self._views[server.server_id] = view
         self._groups.setdefault((server.kind, server.group), {})[server.server_id] = view
         return view
 
-    def forget(self, server_id: str) -> None:
+    def remove(self, server_id: str) -> None:
         """Remove a server that no longer exists."""
         view = self._views.pop(server_id, None)
         if view is not None:
--- a/src/verbenawind/membership/server_directory.py
+++ b/src/verbenawind/membership/server_directory.py
@@ -232,11 +232,11 @@
         self._known[item.key] = _KnownServer(item.rank, body)
         view = self._fleet.view(item.key)
         if body.state is _ServerState.GONE:
-            self._fleet.forget(item.key)
+            self._fleet.remove(item.key)
             self._prune_gone()
             return
         if view is not None and view.server.address != body.address:
-            self._fleet.forget(item.key)
+            self._fleet.remove(item.key)
         self._fleet.add(_server(item.key, item.rank[0], body))
         if body.state is _ServerState.LEAVING:
             self._fleet.mark_leaving(item.key, item.rank[0])
