--- a/src/verbenawind/platform/daemon.py
+++ b/src/verbenawind/platform/daemon.py
@@ -235,7 +235,7 @@
         set_gauge(
             "backend_connections_opened",
             "Connections opened to backend servers.",
-            self._backend_client.opened,
+            self._backend_client.connections_opened,
         )
         set_gauge(
             "lease_held",
--- a/src/verbenawind/plugins/http1_client.py
+++ b/src/verbenawind/plugins/http1_client.py
@@ -320,13 +320,13 @@
         connect_timeout_s: Timeout for opening a connection, in seconds.
     """
 
-    __slots__ = ("_clock", "_connect_timeout_s", "_idle", "opened")
+    __slots__ = ("_clock", "_connect_timeout_s", "_idle", "connections_opened")
 
     def __init__(self, clock: Clock, connect_timeout_s: float) -> None:
         self._clock = clock
         self._connect_timeout_s = connect_timeout_s
         self._idle: dict[str, list[_Connection]] = {}
-        self.opened = 0
+        self.connections_opened = 0
 
     async def send(
         self, address: str, request: Http1Request, *, fresh: bool = False
@@ -384,5 +384,5 @@
             raise BackendServerUnreachable(
                 f"cannot connect to server {address}: {error!r}"
             ) from error
-        self.opened += 1
+        self.connections_opened += 1
         return connection
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -67,7 +67,7 @@
         async def scenario() -> None:
             async with ClientAndServer(handle) as pair:
                 assert [await pair.body(name) for name in "abc"] == [b"a", b"b", b"c"]
-                assert pair.client.opened == 1
+                assert pair.client.connections_opened == 1
 
         asyncio.run(scenario())
 
@@ -83,7 +83,7 @@
             async with ClientAndServer(handle) as pair:
                 await pair.body("a")
                 await pair.body("a")
-                assert pair.client.opened == 2
+                assert pair.client.connections_opened == 2
 
         asyncio.run(scenario())
 
@@ -128,7 +128,7 @@
             async with ClientAndServer(handle) as pair:
                 assert await pair.body("a") == b"whole"
                 assert await pair.body("a") == b"whole"
-                assert pair.client.opened == 2
+                assert pair.client.connections_opened == 2
 
         asyncio.run(scenario())
 
