--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from fuzz.scenes import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_scene, step_of
+from fuzz.simulations import DOCUMENT, ENGINES, SERVICES, TRAINERS, make_simulation, step_of
 from verbenawind.standins.engine import CRASH_MARKER
 from verbenawind.standins.simulation import with_idle_weight
 
@@ -37,7 +37,7 @@
         """Start three daemons."""
 
         async def start() -> None:
-            self.scene = make_scene(seed)
+            self.scene = make_simulation(seed)
             await self.scene.start()
 
         self._runner.run(start())
--- a/tests/fuzz/scenes.py
+++ b/tests/fuzz/simulations.py
@@ -1,4 +1,4 @@
-"""The scene and the steps of the fuzzing and of the mutation tests."""
+"""The simulation and the steps of the fuzzing and of the mutation tests."""
 
 from verbenawind.document import parse_document
 from verbenawind.kernel.rollouts import PromptGroup, Sampling, StepSubmission
@@ -32,11 +32,11 @@
 SERVICES = 2
 
 
-def make_scene(seed: int) -> Simulation:
-    """Return an unstarted scene of three zones, four engines and two service hosts."""
-    unstarted = Simulation(seed, DOCUMENT)
+def make_simulation(seed: int) -> Simulation:
+    """Return an unstarted simulation with three zones, four engines and two service hosts."""
+    simulation = Simulation(seed, DOCUMENT)
     for index in range(ENGINES):
-        unstarted.deployment.add_engine(
+        simulation.deployment.add_engine(
             f"engine-{index}",
             "tuning",
             {"tuner": 0, "drafter": 0},
@@ -44,8 +44,8 @@
             checks_fencing=index % 2 == 0,
         )
     for index in range(SERVICES):
-        unstarted.deployment.add_service(f"stock-{index}", "stock", zone_index=index)
-    return unstarted
+        simulation.deployment.add_service(f"stock-{index}", "stock", zone_index=index)
+    return simulation
 
 
 def step_of(trainer: str, step: int, groups: int = 2, size: int = 2) -> StepSubmission:
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from fuzz.scenes import DOCUMENT, make_scene, step_of
+from fuzz.simulations import DOCUMENT, make_simulation, step_of
 from verbenawind.errors import Outcome, StreamTruncated
 from verbenawind.kernel import Fleet
 from verbenawind.kernel.messages import EngineEvent, TokensGenerated
@@ -33,118 +33,118 @@
 # Scenarios.
 
 
-async def step_during_swap(scene: Simulation) -> None:
+async def step_during_swap(simulation: Simulation) -> None:
     """The engines swap to a new version while a step is generated."""
-    await scene.submit(0, "folders", step_of("folders", 1))
-    await scene.clock.sleep(_SWAP_DELAY_S)
-    await scene.publish(0, "folders")
-    await scene.wait_until_settled()
+    await simulation.submit(0, "folders", step_of("folders", 1))
+    await simulation.clock.sleep(_SWAP_DELAY_S)
+    await simulation.publish(0, "folders")
+    await simulation.wait_until_settled()
 
 
-async def late_poll(scene: Simulation) -> None:
+async def late_poll(simulation: Simulation) -> None:
     """A trainer polls for a step after publishing two newer versions."""
-    await scene.submit(0, "folders", step_of("folders", 1))
-    await scene.clock.sleep(20.0)
+    await simulation.submit(0, "folders", step_of("folders", 1))
+    await simulation.clock.sleep(20.0)
     for _ in range(2):
-        await scene.publish(1, "folders")
-        await scene.clock.sleep(4.0)
-    await scene.wait_until_settled(60.0)
+        await simulation.publish(1, "folders")
+        await simulation.clock.sleep(4.0)
+    await simulation.wait_until_settled(60.0)
 
 
-async def two_polls(scene: Simulation) -> None:
+async def two_polls(simulation: Simulation) -> None:
     """A trainer polls for two steps one after the other."""
     for step in (1, 2):
-        await scene.submit(0, "folders", step_of("folders", step))
-        await scene.clock.sleep(15.0)
-        await scene.poll(0, "folders")
-    await scene.poll(1, "folders")
+        await simulation.submit(0, "folders", step_of("folders", step))
+        await simulation.clock.sleep(15.0)
+        await simulation.poll(0, "folders")
+    await simulation.poll(1, "folders")
 
 
-async def repeated_grades(scene: Simulation) -> None:
+async def repeated_grades(simulation: Simulation) -> None:
     """A trainer sends its grades again after losing the acknowledgement."""
-    await scene.submit(0, "folders", step_of("folders", 1))
-    await scene.wait_until_settled()
-    await scene.grade(0, "folders")
-    scene.trainers["folders"].graded.clear()
-    await scene.grade(1, "folders")
+    await simulation.submit(0, "folders", step_of("folders", 1))
+    await simulation.wait_until_settled()
+    await simulation.grade(0, "folders")
+    simulation.trainers["folders"].graded.clear()
+    await simulation.grade(1, "folders")
     for _ in range(4):
-        await scene.poll(0, "folders")
+        await simulation.poll(0, "folders")
 
 
-async def truncated_streams(scene: Simulation) -> None:
+async def truncated_streams(simulation: Simulation) -> None:
     """Engines omit the end marker of their streams."""
-    for engine in scene.deployment.engines.values():
+    for engine in simulation.deployment.engines.values():
         engine.faults.drop_end_marker = True
-    calls = scene.ask(0, "which die")
-    await scene.clock.sleep(2.0)
-    for engine in scene.deployment.engines.values():
+    calls = simulation.ask(0, "which die")
+    await simulation.clock.sleep(2.0)
+    for engine in simulation.deployment.engines.values():
         engine.faults.drop_end_marker = False
     await calls
 
 
-async def crash_while_streaming(scene: Simulation) -> None:
+async def crash_while_streaming(simulation: Simulation) -> None:
     """All engines but one crash while they stream answers."""
-    calls = [scene.ask(index % 3, f"die {index}", max_tokens=400) for index in range(8)]
-    await scene.clock.sleep(0.2)
+    calls = [simulation.ask(index % 3, f"die {index}", max_tokens=400) for index in range(8)]
+    await simulation.clock.sleep(0.2)
     for name in ("engine-0", "engine-1", "engine-2"):
-        scene.deployment.engines[name].crash()
+        simulation.deployment.engines[name].crash()
     await asyncio.wait(calls)
 
 
-async def crashing_request(scene: Simulation) -> None:
+async def crashing_request(simulation: Simulation) -> None:
     """A request crashes the engines that it runs on until it is refused."""
-    await scene.ask(0, f"a die {CRASH_MARKER}")
+    await simulation.ask(0, f"a die {CRASH_MARKER}")
 
 
-async def duplicate_booking(scene: Simulation) -> None:
+async def duplicate_booking(simulation: Simulation) -> None:
     """A caller sends the same booking to two daemons at once."""
     calls = [
-        scene.book(0, "pallet", "window envelopes"),
-        scene.book(1, "pallet", "window envelopes"),
+        simulation.book(0, "pallet", "window envelopes"),
+        simulation.book(1, "pallet", "window envelopes"),
     ]
     await asyncio.wait(calls)
 
 
-async def leaving_engine(scene: Simulation) -> None:
+async def leaving_engine(simulation: Simulation) -> None:
     """Callers send requests after an engine was listed as leaving."""
-    scene.leave("engine-1")
-    await scene.clock.sleep(8.0)
-    calls = [scene.ask(index % 3, f"job {index}") for index in range(12)]
+    simulation.leave("engine-1")
+    await simulation.clock.sleep(8.0)
+    calls = [simulation.ask(index % 3, f"job {index}") for index in range(12)]
     await asyncio.wait(calls)
 
 
-async def shutdown_under_load(scene: Simulation) -> None:
+async def shutdown_under_load(simulation: Simulation) -> None:
     """A daemon shuts down while it streams answers."""
-    calls = [scene.ask(0, f"job {index}", max_tokens=300) for index in range(4)]
-    await scene.clock.sleep(0.1)
-    await scene.stop_daemon(0)
+    calls = [simulation.ask(0, f"job {index}", max_tokens=300) for index in range(4)]
+    await simulation.clock.sleep(0.1)
+    await simulation.stop_daemon(0)
     await asyncio.wait(calls)
 
 
-async def delayed_table_response(scene: Simulation) -> None:
+async def delayed_table_response(simulation: Simulation) -> None:
     """Slow table responses reach one daemon after newer revisions."""
-    deployment, zone = scene.deployment, scene.deployment.locations[2].zone
+    deployment, zone = simulation.deployment, simulation.deployment.locations[2].zone
     original_delay_s = deployment.network._delay_s
     deployment.network._delay_s = lambda a, b: (
         1.2 if (a, b) == (PLATFORM, zone) else original_delay_s(a, b)
     )
     for number in range(12):
-        await scene.accept(0, with_idle_weight(DOCUMENT, 2.0 + number))
+        await simulation.accept(0, with_idle_weight(DOCUMENT, 2.0 + number))
         for _ in range(5):
-            await scene.clock.sleep(0.1)
-            scene.observe_revisions()
+            await simulation.clock.sleep(0.1)
+            simulation.observe_revisions()
 
 
-async def changed_document(scene: Simulation) -> None:
+async def changed_document(simulation: Simulation) -> None:
     """An operator changes the document."""
-    await scene.accept(0, with_idle_weight(DOCUMENT, 2.0))
-    await scene.clock.sleep(8.0)
+    await simulation.accept(0, with_idle_weight(DOCUMENT, 2.0))
+    await simulation.clock.sleep(8.0)
 
 
-async def concurrent_operators(scene: Simulation) -> None:
+async def concurrent_operators(simulation: Simulation) -> None:
     """Two operators change the document at once."""
     await asyncio.gather(
-        *(scene.accept(index, with_idle_weight(DOCUMENT, 2.0 + index)) for index in (0, 1))
+        *(simulation.accept(index, with_idle_weight(DOCUMENT, 2.0 + index)) for index in (0, 1))
     )
 
 
@@ -317,15 +317,15 @@
     """Run a scenario and return the promises that it violated."""
 
     async def run() -> set[Guarantee]:
-        running_scene = make_scene(1)
-        await running_scene.start()
+        simulation = make_simulation(1)
+        await simulation.start()
         try:
-            await scenario(running_scene)
-            running_scene.collect()
-            running_scene.observe_revisions()
-            return {violation.promise for violation in running_scene.oracle.find_violations()}
+            await scenario(simulation)
+            simulation.collect()
+            simulation.observe_revisions()
+            return {violation.promise for violation in simulation.oracle.find_violations()}
         finally:
-            await running_scene.stop()
+            await simulation.stop()
 
     return run_virtual(run())
 
--- a/tests/traces/test_recorder.py
+++ b/tests/traces/test_recorder.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fuzz.scenes import make_scene, step_of
+from fuzz.simulations import make_simulation, step_of
 from verbenawind.errors import InvalidRequest
 from verbenawind.kernel.messages import GenerateRequest, WorkKind
 from verbenawind.standins.deployment import run_virtual
@@ -19,7 +19,7 @@
         path = tmp_path / "live.jsonl"
 
         async def serve() -> None:
-            simulation = make_scene(1)
+            simulation = make_simulation(1)
             await simulation.start()
             core = simulation.deployment.daemons["daemon-0"]
             recording = LiveRecording(
