--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -37,8 +37,8 @@
         """Start three daemons."""
 
         async def start() -> None:
-            self.scene = make_simulation(seed)
-            await self.scene.start()
+            self.simulation = make_simulation(seed)
+            await self.simulation.start()
 
         self._runner.run(start())
 
@@ -47,24 +47,24 @@
         """An operator changes the document."""
         self._documents += 1
         document = with_idle_weight(DOCUMENT, 1.0 + self._documents)
-        self._background(self.scene.accept(index, document))
+        self._background(self.simulation.accept(index, document))
 
     @rule(engine=ENGINE_INDEXES)
     def crash_engine(self, engine: int) -> None:
         """An engine crashes."""
-        self._do(self.scene.deployment.engines[f"engine-{engine}"].crash)
+        self._do(self.simulation.deployment.engines[f"engine-{engine}"].crash)
 
     @rule(engine=ENGINE_INDEXES)
     def restart_engine(self, engine: int) -> None:
         """A crashed engine restarts with its initial weights."""
-        crashed = self.scene.deployment.engines[f"engine-{engine}"]
+        crashed = self.simulation.deployment.engines[f"engine-{engine}"]
         if crashed.down:
             self._do(crashed.restart)
 
     @rule(engine=ENGINE_INDEXES, ends=st.booleans())
     def spoil_engine(self, engine: int, ends: bool) -> None:
         """An engine's next swap fails midway, or its streams omit their end marker for a second."""
-        faults = self.scene.deployment.engines[f"engine-{engine}"].faults
+        faults = self.simulation.deployment.engines[f"engine-{engine}"].faults
         if not ends:
             faults.fail_next_swaps = 1
             return
@@ -75,18 +75,18 @@
     @rule(engine=ENGINE_INDEXES)
     def delay_version_report(self, engine: int) -> None:
         """An engine's status reports the previous version for three seconds after each swap."""
-        self.scene.deployment.engines[f"engine-{engine}"].faults.version_report_lag_s = 3.0
+        self.simulation.deployment.engines[f"engine-{engine}"].faults.version_report_lag_s = 3.0
 
     @rule(engine=ENGINE_INDEXES)
     def leave(self, engine: int) -> None:
         """The platform lists an engine as leaving; engine 0 always stays."""
         if engine > 0:
-            self._do(lambda: self.scene.leave(f"engine-{engine}"), 0.5)
+            self._do(lambda: self.simulation.leave(f"engine-{engine}"), 0.5)
 
     @rule(host=st.integers(0, SERVICES - 1), answers=st.booleans())
     def spoil_service(self, host: int, answers: bool) -> None:
         """A service host loses its next response after the effect, or toggles its reachability."""
-        service = self.scene.deployment.services[f"stock-{host}"]
+        service = self.simulation.deployment.services[f"stock-{host}"]
         if answers:
             service.lose_next_answers = 1
         else:
@@ -95,27 +95,27 @@
     @rule(index=DAEMONS, pause=st.booleans())
     def lose_daemon(self, index: int, pause: bool) -> None:
         """A daemon is killed or paused."""
-        if pause and self.scene.running(index):
-            self._do(lambda: self.scene.pause(index))
+        if pause and self.simulation.running(index):
+            self._do(lambda: self.simulation.pause(index))
         else:
-            self._run(self.scene.kill_daemon(index))
+            self._run(self.simulation.kill_daemon(index))
 
     @rule(index=DAEMONS)
     def resume_daemon(self, index: int) -> None:
         """A killed daemon restarts, a paused one resumes."""
 
         async def resume() -> None:
-            await asyncio.wait_for(self.scene.start_daemon(index), 60.0)
-            self.scene.resume(index)
+            await asyncio.wait_for(self.simulation.start_daemon(index), 60.0)
+            self.simulation.resume(index)
 
         self._run(resume())
 
     @rule(index=DAEMONS)
     def stop_daemon(self, index: int) -> None:
         """A daemon shuts down gracefully."""
-        if self.scene.running(index):
-            self._do(lambda: self.scene.resume(index))
-            self._background(self.scene.stop_daemon(index))
+        if self.simulation.running(index):
+            self._do(lambda: self.simulation.resume(index))
+            self._background(self.simulation.stop_daemon(index))
 
     @rule(graceful=st.booleans())
     def restart_all(self, graceful: bool) -> None:
@@ -123,12 +123,12 @@
 
         async def restart() -> None:
             for index in range(3):
-                self.scene.resume(index)
+                self.simulation.resume(index)
             if graceful:
-                await asyncio.gather(*(self.scene.stop_daemon(index) for index in range(3)))
+                await asyncio.gather(*(self.simulation.stop_daemon(index) for index in range(3)))
             for index in range(3):
-                await self.scene.kill_daemon(index)
-                await asyncio.wait_for(self.scene.start_daemon(index), 60.0)
+                await self.simulation.kill_daemon(index)
+                await asyncio.wait_for(self.simulation.start_daemon(index), 60.0)
 
         self._run(restart())
 
@@ -137,29 +137,29 @@
         """Links between daemons drop a fraction of their messages."""
 
         def change() -> None:
-            self.scene.oracle.begin_disturbance(self.scene.clock.monotonic_s())
-            self.scene.deployment.network.loss_rate = rate
+            self.simulation.oracle.begin_disturbance(self.simulation.clock.monotonic_s())
+            self.simulation.deployment.network.loss_rate = rate
 
         self._do(change)
 
     @rule(zone=DAEMONS, platform=st.booleans(), both_ways=st.booleans())
     def cut(self, zone: int, platform: bool, both_ways: bool) -> None:
         """A zone loses its connection to the platform or to the other zones."""
-        self._do(lambda: self.scene.cut(zone, platform=platform, both_ways=both_ways), 0.3)
+        self._do(lambda: self.simulation.cut(zone, platform=platform, both_ways=both_ways), 0.3)
 
     @rule()
     def heal_network(self) -> None:
         """All network faults end."""
-        self._do(self.scene.deployment.network.heal)
+        self._do(self.simulation.deployment.network.heal)
 
     @rule(fault=st.sampled_from(["down", "slow", "lossy", "healthy"]))
     def change_store(self, fault: str) -> None:
         """The platform's stores become unavailable or slow, lose responses, or recover."""
-        deployment = self.scene.deployment
+        deployment = self.simulation.deployment
 
         def change() -> None:
             if fault != "healthy":
-                self.scene.oracle.begin_disturbance(deployment.clock.monotonic_s())
+                self.simulation.oracle.begin_disturbance(deployment.clock.monotonic_s())
             for store in (deployment.table, deployment.objects):
                 store.faults.down = fault == "down"
                 store.faults.delay_s = 0.4 if fault == "slow" else 0.0
@@ -175,45 +175,45 @@
     def teardown(self) -> None:
         """End every fault; all accepted work must then complete."""
         try:
-            if hasattr(self, "scene"):
+            if hasattr(self, "simulation"):
                 self._run(self._finish())
         finally:
             self._runner.close()
 
     async def _finish(self) -> None:
-        await self.scene.heal()
-        await self.scene.clock.sleep(SETTLE_TIME_S)
-        self.scene.end_disturbances()
-        await self.scene.wait_until_settled()
+        await self.simulation.heal()
+        await self.simulation.clock.sleep(SETTLE_TIME_S)
+        self.simulation.end_disturbances()
+        await self.simulation.wait_until_settled()
         try:
-            self.scene.check()
+            self.simulation.check()
         finally:
-            await self.scene.stop()
+            await self.simulation.stop()
 
     def _background(self, work: Coroutine[Any, Any, Any]) -> None:
         async def begin() -> None:
-            self.scene.spawn(work)
-            await self.scene.clock.sleep(0.05)
+            self.simulation.spawn(work)
+            await self.simulation.clock.sleep(0.05)
 
         self._run(begin())
 
     def _do(self, act: Callable[[], Any], then_s: float = 0.1) -> None:
         async def work() -> None:
             act()
-            await self.scene.clock.sleep(then_s)
+            await self.simulation.clock.sleep(then_s)
 
         self._run(work())
 
     def _advance(self, duration_s: float) -> None:
-        self._run(self.scene.clock.sleep(duration_s))
+        self._run(self.simulation.clock.sleep(duration_s))
 
     def _run(self, work: Coroutine[Any, Any, Any]) -> None:
         self._runner.run(work)
-        if hasattr(self, "scene") and self.scene.deployment.daemons:
+        if hasattr(self, "simulation") and self.simulation.deployment.daemons:
             self._runner.run(self._checked())
 
     async def _checked(self) -> None:
-        self.scene.check()
+        self.simulation.check()
 
 
 class TrainerMachine(FaultMachine):
@@ -232,25 +232,25 @@
     @rule(trainer=TRAINER_NAMES, index=DAEMONS, lose=st.booleans())
     def poll(self, trainer: str, index: int, lose: bool) -> None:
         """A trainer polls; a lost answer makes it repeat its cursor."""
-        self._background(self.scene.poll(index, trainer, lose=lose))
+        self._background(self.simulation.poll(index, trainer, lose=lose))
 
     @rule(trainer=TRAINER_NAMES, first=DAEMONS, second=DAEMONS)
     def poll_twice(self, trainer: str, first: int, second: int) -> None:
         """A trainer polls at two daemons at once with one cursor."""
-        self._background(self.scene.poll(first, trainer))
-        self._background(self.scene.poll(second, trainer))
+        self._background(self.simulation.poll(first, trainer))
+        self._background(self.simulation.poll(second, trainer))
 
     @rule(trainer=TRAINER_NAMES, index=DAEMONS, repeat=st.booleans())
     def grade(self, trainer: str, index: int, repeat: bool) -> None:
         """A trainer grades what it holds, again where it lost the acknowledgement."""
         if repeat:
-            self.scene.trainers[trainer].graded.clear()
-        self._background(self.scene.grade(index, trainer))
+            self.simulation.trainers[trainer].graded.clear()
+        self._background(self.simulation.grade(index, trainer))
 
     @rule(trainer=TRAINER_NAMES, index=DAEMONS)
     def publish(self, trainer: str, index: int) -> None:
         """A trainer publishes its next version."""
-        self._background(self.scene.publish(index, trainer))
+        self._background(self.simulation.publish(index, trainer))
 
     @rule(trainer=TRAINER_NAMES, index=DAEMONS)
     def overtake(self, trainer: str, index: int) -> None:
@@ -259,16 +259,16 @@
 
         async def publish() -> None:
             await self._submit(trainer, index, step)
-            await self.scene.clock.sleep(8.0)
+            await self.simulation.clock.sleep(8.0)
             for _ in range(3):
-                await self.scene.publish(index, trainer)
-            await self.scene.poll((index + 1) % 3, trainer)
+                await self.simulation.publish(index, trainer)
+            await self.simulation.poll((index + 1) % 3, trainer)
 
         self._background(publish())
         self._advance(10.0)
 
     async def _submit(self, trainer: str, index: int, step: int) -> None:
-        if await self.scene.submit(index, trainer, step_of(trainer, step)):
+        if await self.simulation.submit(index, trainer, step_of(trainer, step)):
             self._steps[trainer] = max(step, self._steps[trainer])
 
 
@@ -282,23 +282,23 @@
     @rule(index=DAEMONS, number=st.integers(0, 20))
     def ask(self, index: int, number: int) -> None:
         """An application caller asks for a generation."""
-        self._do(lambda: self.scene.ask(index, f"which die for envelope {number}"))
+        self._do(lambda: self.simulation.ask(index, f"which die for envelope {number}"))
 
     @rule(index=DAEMONS)
     def ask_crashing(self, index: int) -> None:
         """A caller sends a request that crashes engines."""
-        self._do(lambda: self.scene.ask(index, f"a die {CRASH_MARKER}"))
+        self._do(lambda: self.simulation.ask(index, f"a die {CRASH_MARKER}"))
 
     @rule(index=DAEMONS, number=st.integers(0, 20))
     def ask_truncated(self, index: int, number: int) -> None:
         """A caller asks while every engine drops its end marks for two seconds."""
 
         async def ask() -> None:
-            faults = [engine.faults for engine in self.scene.deployment.engines.values()]
+            faults = [engine.faults for engine in self.simulation.deployment.engines.values()]
             for fault in faults:
                 fault.drop_end_marker = True
-            self.scene.ask(index, f"which glue for envelope {number}")
-            await self.scene.clock.sleep(2.0)
+            self.simulation.ask(index, f"which glue for envelope {number}")
+            await self.simulation.clock.sleep(2.0)
             for fault in faults:
                 fault.drop_end_marker = False
 
@@ -307,15 +307,15 @@
     @rule(index=DAEMONS)
     def look_up(self, index: int) -> None:
         """A caller sends an idempotent call to the plain service."""
-        self._do(lambda: self.scene.book(index, "", "card 7", idempotent=True))
+        self._do(lambda: self.simulation.book(index, "", "card 7", idempotent=True))
 
     @rule(first=DAEMONS, second=DAEMONS)
     def book_twice(self, first: int, second: int) -> None:
         """A caller books at one daemon and repeats it at another before it has an answer."""
         self._bookings += 1
         key, body = f"booking-{self._bookings}", f"pallet {self._bookings}"
-        self._do(lambda: self.scene.book(first, key, body), 0.004)
-        self._do(lambda: self.scene.book(second, key, body))
+        self._do(lambda: self.simulation.book(first, key, body), 0.004)
+        self._do(lambda: self.simulation.book(second, key, body))
 
 
 class ServiceMachine(TrainerMachine, CallerMachine):
