--- a/tests/weights/test_controller.py
+++ b/tests/weights/test_controller.py
@@ -28,7 +28,7 @@
     "token_sha256": "0000000000000000000000000000000000000000000000000000000000000000"}"""
 
 
-class Scene:
+class ControllerHarness:
     """A simulated zone with engines, one or two daemons and a document in force."""
 
     def __init__(self, deployment: Deployment, revision: EnvironmentRevision) -> None:
@@ -60,8 +60,8 @@
         )
 
 
-def play(
-    scenario: Callable[[Scene], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[ControllerHarness], Awaitable[None]],
     *,
     engines: int = 3,
     daemons: int = 1,
@@ -87,7 +87,7 @@
             "delay_s": activation_delay_s,
         }
         revision = await deployment.accept(parse_document(text))
-        await scenario(Scene(deployment, revision))
+        await scenario(ControllerHarness(deployment, revision))
         await deployment.stop()
 
     run_virtual(run())
@@ -97,137 +97,137 @@
     def test_every_engine_reaches_a_published_version(self) -> None:
         """All engines run a new version within 15 s of its publication."""
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1)
-            assert await scene.until(lambda: scene.all_at(1), limit_s=15.0)
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=15.0)
 
-        play(scenario)
+        run_scenario(scenario)
 
     def test_failed_swaps_are_repaired(self) -> None:
         """Engines whose first swaps fail are still updated to the version."""
 
-        async def scenario(scene: Scene) -> None:
-            for engine in list(scene.deployment.engines.values())[::2]:
+        async def scenario(harness: ControllerHarness) -> None:
+            for engine in list(harness.deployment.engines.values())[::2]:
                 engine.faults.fail_next_swaps = 2
-            await scene.publish(1)
-            assert await scene.until(lambda: scene.all_at(1), limit_s=30.0)
+            await harness.publish(1)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=30.0)
 
-        play(scenario)
+        run_scenario(scenario)
 
     def test_failing_engine_is_set_aside_and_others_are_updated(self) -> None:
         """An engine that fails every swap blocks neither other engines nor newer versions."""
 
-        async def scenario(scene: Scene) -> None:
-            broken, *others = scene.deployment.engines.values()
+        async def scenario(harness: ControllerHarness) -> None:
+            broken, *others = harness.deployment.engines.values()
             broken.faults.fail_next_swaps = 1000
-            await scene.publish(1)
-            await scene.until(lambda: False, limit_s=15.0)
-            await scene.publish(2)
-            assert await scene.until(
+            await harness.publish(1)
+            await harness.until(lambda: False, limit_s=15.0)
+            await harness.publish(2)
+            assert await harness.until(
                 lambda: all(engine.active_version("tuner") == 2 for engine in others), limit_s=60.0
             )
             assert broken.active_version("tuner") is None
 
-        play(scenario, applications=True)
+        run_scenario(scenario, applications=True)
 
     def test_restarted_engine_is_updated_again(self) -> None:
         """An engine that restarts with its initial weights is updated to the newest version."""
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1)
-            assert await scene.until(lambda: scene.all_at(1), limit_s=15.0)
-            engine = scene.deployment.engines["engine-0"]
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=15.0)
+            engine = harness.deployment.engines["engine-0"]
             engine.crash()
             engine.restart()
             assert engine.active_version("tuner") == 0
-            assert await scene.until(lambda: scene.all_at(1), limit_s=30.0)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=30.0)
 
-        play(scenario)
+        run_scenario(scenario)
 
     @pytest.mark.parametrize("activation_delay_s", [0.0, 30.0])
     def test_application_pool_is_never_swapped_all_at_once(self, activation_delay_s: float) -> None:
         """At least half of an application pool always has a known active version."""
         known_counts: list[int] = []
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1)
-            while not scene.all_at(1):
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1)
+            while not harness.all_at(1):
                 versions = [
-                    engine.active_version("tuner") for engine in scene.deployment.engines.values()
+                    engine.active_version("tuner") for engine in harness.deployment.engines.values()
                 ]
                 known_counts.append(sum(version is not None for version in versions))
-                assert scene.deployment.clock.monotonic_s() < activation_delay_s + 60.0
+                assert harness.deployment.clock.monotonic_s() < activation_delay_s + 60.0
                 await asyncio.sleep(0.01)
 
-        play(scenario, engines=4, applications=True, activation_delay_s=activation_delay_s)
+        run_scenario(scenario, engines=4, applications=True, activation_delay_s=activation_delay_s)
         assert min(known_counts) >= 2
 
     def test_no_model_starves_while_another_changes_fast(self) -> None:
         """A model reaches its version while another one is published every second."""
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1, model="gluer")
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1, model="gluer")
             for version in range(1, 20):
-                await scene.publish(version)
-                await scene.until(lambda: False, limit_s=1.0)
-            assert scene.all_at(1, model="gluer")
+                await harness.publish(version)
+                await harness.until(lambda: False, limit_s=1.0)
+            assert harness.all_at(1, model="gluer")
             assert (
                 min(
                     engine.active_version("tuner") or 0
-                    for engine in scene.deployment.engines.values()
+                    for engine in harness.deployment.engines.values()
                 )
                 >= 10
             )
 
-        play(scenario)
+        run_scenario(scenario)
 
     def test_new_holder_waits_for_earlier_orders_without_fencing(self) -> None:
         """Without fencing checks, a new lease holder waits until earlier orders have timed out."""
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1)
-            assert await scene.until(lambda: scene.all_at(1), limit_s=30.0)
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=30.0)
             (holder,) = [
-                core for core in scene.deployment.daemons.values() if core.weights.held_shards()
+                core for core in harness.deployment.daemons.values() if core.weights.held_shards()
             ]
-            (other,) = [core for core in scene.deployment.daemons.values() if core is not holder]
+            (other,) = [core for core in harness.deployment.daemons.values() if core is not holder]
             await holder.kill()
-            assert await scene.until(lambda: bool(other.weights.held_shards()), limit_s=60.0)
-            taken_at_s = scene.deployment.clock.monotonic_s()
-            counts = orders_by_engine(scene)
-            await scene.publish(2, at=other)
-            assert await scene.until(lambda: orders_by_engine(scene) != counts, limit_s=60.0)
-            assert scene.deployment.clock.monotonic_s() - taken_at_s >= 2.5
-            assert await scene.until(lambda: scene.all_at(2), limit_s=60.0)
+            assert await harness.until(lambda: bool(other.weights.held_shards()), limit_s=60.0)
+            taken_at_s = harness.deployment.clock.monotonic_s()
+            counts = orders_by_engine(harness)
+            await harness.publish(2, at=other)
+            assert await harness.until(lambda: orders_by_engine(harness) != counts, limit_s=60.0)
+            assert harness.deployment.clock.monotonic_s() - taken_at_s >= 2.5
+            assert await harness.until(lambda: harness.all_at(2), limit_s=60.0)
 
-        play(scenario, daemons=2, checks_fencing=False, engines=1)
+        run_scenario(scenario, daemons=2, checks_fencing=False, engines=1)
 
     def test_paused_holder_gives_no_outdated_orders(self) -> None:
         """A holder that resumes after its lease has expired gives no order under it."""
 
-        async def scenario(scene: Scene) -> None:
-            await scene.publish(1)
-            assert await scene.until(lambda: scene.all_at(1), limit_s=30.0)
+        async def scenario(harness: ControllerHarness) -> None:
+            await harness.publish(1)
+            assert await harness.until(lambda: harness.all_at(1), limit_s=30.0)
             (paused,) = [
                 name
-                for name, core in scene.deployment.daemons.items()
+                for name, core in harness.deployment.daemons.items()
                 if core.weights.held_shards()
             ]
-            (other,) = [core for name, core in scene.deployment.daemons.items() if name != paused]
-            scene.deployment.processes[paused].pause()
-            assert await scene.until(lambda: bool(other.weights.held_shards()), limit_s=60.0)
-            await scene.publish(2, at=other)
-            scene.deployment.processes[paused].resume()
-            assert await scene.until(lambda: scene.all_at(2), limit_s=60.0)
-            for engine in scene.deployment.engines.values():
+            (other,) = [core for name, core in harness.deployment.daemons.items() if name != paused]
+            harness.deployment.processes[paused].pause()
+            assert await harness.until(lambda: bool(other.weights.held_shards()), limit_s=60.0)
+            await harness.publish(2, at=other)
+            harness.deployment.processes[paused].resume()
+            assert await harness.until(lambda: harness.all_at(2), limit_s=60.0)
+            for engine in harness.deployment.engines.values():
                 numbers = [order.fencing_number for order in engine.orders]
                 assert numbers == sorted(numbers)
 
-        play(scenario, daemons=2, engines=1, checks_fencing=False)
+        run_scenario(scenario, daemons=2, engines=1, checks_fencing=False)
 
 
-def orders_by_engine(scene: Scene) -> dict[str, int]:
-    return {name: activations(engine) for name, engine in scene.deployment.engines.items()}
+def orders_by_engine(harness: ControllerHarness) -> dict[str, int]:
+    return {name: activations(engine) for name, engine in harness.deployment.engines.items()}
 
 
 def activations(engine: StandinEngine) -> int:
