--- a/bench/routing_harness.py
+++ b/bench/routing_harness.py
@@ -177,7 +177,7 @@
         await asyncio.sleep(_WARM_UP_TIME_S)
 
     async def stop(self) -> None:
-        """Cancel all requests and stop the world."""
+        """Cancel all requests and stop the deployment."""
         for task in [*self._tasks, *([self._probing_task] if self._probing_task else [])]:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/bench/state.py
+++ b/bench/state.py
@@ -36,7 +36,7 @@
     """Counts the calls to the table per second, and its reads by key prefix."""
 
     def __init__(self, deployment: Deployment) -> None:
-        self._world = deployment
+        self._deployment = deployment
         self.reads: Counter[int] = Counter()
         self.writes: Counter[int] = Counter()
         self.reads_by_prefix: Counter[str] = Counter()
@@ -53,7 +53,7 @@
         self.reads_by_prefix.clear()
 
     def _count_call(self, counter: Counter[int]) -> None:
-        counter[int(self._world.clock.monotonic_s())] += 1
+        counter[int(self._deployment.clock.monotonic_s())] += 1
 
     async def _counted_read(self, keys):  # type: ignore[no-untyped-def]
         self._count_call(self.reads)
--- a/tests/membership/test_fleet_watcher.py
+++ b/tests/membership/test_fleet_watcher.py
@@ -13,7 +13,7 @@
 LEAVING_S = 3.0
 
 
-def run_world(work: Callable[[Deployment, list[Core]], Awaitable[Any]]) -> Any:
+def run_deployment(work: Callable[[Deployment, list[Core]], Awaitable[Any]]) -> Any:
     async def scenario() -> Any:
         deployment = Deployment()
         for index in range(6):
@@ -48,7 +48,7 @@
             await asyncio.sleep(LEAVING_S)
             assert leaving_everywhere(cores, "engine-0")
 
-        run_world(work)
+        run_deployment(work)
 
     def test_host_list_reaches_all_daemons(self) -> None:
         """A server listed as leaving is marked so by all daemons within 3 s of the list's lag."""
@@ -58,7 +58,7 @@
             await asyncio.sleep(deployment.hosts.lag_s + LEAVING_S)
             assert leaving_everywhere(cores, "engine-1")
 
-        run_world(work)
+        run_deployment(work)
 
     def test_drain_is_sticky_for_a_late_daemon(self) -> None:
         """A drained server is also marked as leaving by a daemon that starts later."""
@@ -73,7 +73,7 @@
             await asyncio.sleep(5.0)
             assert leaving_everywhere([late], "engine-2")
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestProbing:
@@ -94,7 +94,7 @@
             await asyncio.sleep(20.0)
             assert 20 * 4 <= probes <= 20 * 9
 
-        run_world(work)
+        run_deployment(work)
 
     def test_crashed_engine_is_suspected_until_it_returns(self) -> None:
         """A crashed engine is unusable for all daemons in 3 s, and usable 5 s after its restart."""
@@ -112,7 +112,7 @@
             assert all(view is not None and view.usable(now_s) for view in views)
             assert {view.server.incarnation for view in views if view} == {2}
 
-        run_world(work)
+        run_deployment(work)
 
     def test_result_of_an_order_is_known_everywhere_at_once(self) -> None:
         """The version activated by an order is in every daemon's view within a second."""
@@ -136,7 +136,7 @@
             await asyncio.sleep(1.0)
             assert {version(core, "engine-0") for core in cores} == {4}
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestHostList:
@@ -151,7 +151,7 @@
             await asyncio.sleep(8.0)
             assert all(len(core.fleet.all()) == 6 for core in cores)
 
-        run_world(work)
+        run_deployment(work)
 
     def test_removed_and_new_servers_are_followed(self) -> None:
         """All daemons drop a server removed from the list and add a new one."""
@@ -167,7 +167,7 @@
                 assert core.fleet.view("engine-5") is None
                 assert version(core, "engine-6") == 3
 
-        run_world(work)
+        run_deployment(work)
 
     def test_daemon_cut_off_at_start_learns_from_peers(self) -> None:
         """A daemon started in a zone cut off from the platform learns the zone's engines."""
@@ -183,4 +183,4 @@
             assert version(fresh, "engine-0") == 3
             assert version(fresh, "engine-3") == 3
 
-        run_world(work)
+        run_deployment(work)
--- a/tests/routing/generations.py
+++ b/tests/routing/generations.py
@@ -38,7 +38,7 @@
 def scenario(
     work: Callable[[Deployment], Awaitable[Any]], regions: tuple[str, ...] = ("bangkok",)
 ) -> Any:
-    """Run *work* in a new world on virtual time."""
+    """Run *work* in a new deployment on virtual time."""
 
     async def run_and_stop() -> Any:
         deployment = Deployment(seed=5, regions=regions)
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -66,7 +66,7 @@
 
 
 def scenario(work: Callable[[Deployment], Awaitable[Any]]) -> Any:
-    """Run *work* in a new world on virtual time."""
+    """Run *work* in a new deployment on virtual time."""
 
     async def run_and_stop() -> Any:
         deployment = Deployment(seed=3)
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of configuration shared by the daemons of one simulated world, under injected failures."""
+"""Tests of configuration shared by simulated daemons, under injected failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,7 +23,7 @@
     )
 
 
-def run_world(
+def run_deployment(
     work: Callable[[Deployment, list[Core]], Awaitable[Any]],
     *,
     daemons: int = 6,
@@ -59,7 +59,7 @@
             await asyncio.sleep(PROPAGATION_S)
             assert [revision(core) for core in cores] == [1] * len(cores)
 
-        run_world(work)
+        run_deployment(work)
 
     def test_accepting_daemon_that_dies_at_once(self) -> None:
         """A revision is in force within 10 s even if its accepting daemon crashes at once."""
@@ -70,7 +70,7 @@
             await asyncio.sleep(10.0)
             assert [revision(core) for core in cores[1:]] == [1] * (len(cores) - 1)
 
-        run_world(work)
+        run_deployment(work)
 
     def test_racing_operators(self) -> None:
         """Of two concurrent operators one gets a conflict with the other's revision and diff."""
@@ -90,7 +90,7 @@
             assert lost[0].current_revision == 2
             assert won[0].document.pools[0].name in lost[0].difference
 
-        run_world(work)
+        run_deployment(work)
 
     def test_lost_answer_is_resolved(self) -> None:
         """With lost responses, each revision is reported as accepted and is recorded once."""
@@ -113,7 +113,7 @@
                     await asyncio.sleep(1.0)
             raise AssertionError("the outcome stayed unknown after 20 attempts")
 
-        run_world(work)
+        run_deployment(work)
 
     def test_acceptance_without_response_is_not_reported_as_rejected(self) -> None:
         """If the table stops responding after a commit, its effect is reported as possible."""
@@ -138,7 +138,7 @@
             )
             assert accepted.revision == 1
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestMonotonicity:
@@ -152,7 +152,7 @@
             assert not cores[3].configuration.learn(first)
             assert [revision(core) for core in cores] == [2] * len(cores)
 
-        run_world(work)
+        run_deployment(work)
 
     def test_isolated_zone_keeps_its_revision_and_catches_up(self) -> None:
         """An isolated zone keeps its revision, and gets the new one after the partition heals."""
@@ -172,7 +172,7 @@
             await asyncio.sleep(15.0)
             assert [revision(core) for core in cores] == [2] * 6
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestFreshDaemon:
@@ -189,7 +189,7 @@
             assert fresh.ready
             assert revision(fresh) == 2
 
-        run_world(work)
+        run_deployment(work)
 
     def test_does_not_wait_for_a_slow_platform(self) -> None:
         """A daemon that starts while the table takes a minute is ready through its peers in 5 s."""
@@ -204,7 +204,7 @@
             assert fresh.ready
             assert revision(fresh) == 1
 
-        run_world(work)
+        run_deployment(work)
 
     def test_stays_unready_until_it_learns(self) -> None:
         """A single daemon without the platform is not ready until the platform returns."""
@@ -238,4 +238,4 @@
                 held = {item.key: item.rank[0] for item in core.peers.items("revision-held")}
                 assert held == {f"daemon-{n}:siam-fold/production": 1 for n in range(6)}
 
-        run_world(work)
+        run_deployment(work)
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of leases between daemons of one simulated world, under injected failures."""
+"""Tests of leases between simulated daemons, under injected failures."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,9 @@
 DURATION_S = 6.0
 
 
-def run_world(work: Callable[[Deployment, list[Core]], Awaitable[Any]], *, zones: int = 3) -> Any:
+def run_deployment(
+    work: Callable[[Deployment, list[Core]], Awaitable[Any]], *, zones: int = 3
+) -> Any:
     async def scenario() -> Any:
         deployment = Deployment()
         cores = [
@@ -60,7 +62,7 @@
                 assert await cores[1].leases.acquire("work", DURATION_S) is None
             assert deployment.table.rows[lease.row_key].version == lease.row_version
 
-        run_world(work)
+        run_deployment(work)
 
     def test_released_lease_is_taken_soon_with_a_higher_number(self) -> None:
         """After a release another daemon gets the lease in 3 s, with a higher fencing number."""
@@ -74,7 +76,7 @@
             with pytest.raises(LeaseLost):
                 first.check()
 
-        run_world(work)
+        run_deployment(work)
 
     def test_contenders_read_rarely(self) -> None:
         """Two contenders that poll five times a second cause less than two reads a second."""
@@ -98,7 +100,7 @@
                     assert await core.leases.acquire("work", DURATION_S) is None
             assert reads < 120
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestLosing:
@@ -112,7 +114,7 @@
             second = await acquire(cores[1], 3 * DURATION_S)
             assert second.fencing_number > first.fencing_number
 
-        run_world(work)
+        run_deployment(work)
 
     def test_paused_holder_fails_its_check_and_guarded_write(self) -> None:
         """A holder paused past its lease fails its check, and its guarded write is rejected."""
@@ -131,7 +133,7 @@
             await asyncio.sleep(10.0)
             second.check()
 
-        run_world(work)
+        run_deployment(work)
 
     def test_never_two_holders(self) -> None:
         """While holders lose and regain the platform, no two daemons hold the lease at once."""
@@ -163,7 +165,7 @@
             for task in tasks:
                 task.cancel()
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestGuarded:
@@ -186,7 +188,7 @@
             with pytest.raises(ConditionFailed):
                 await guarded_write(deployment, lease)
 
-        run_world(work, zones=1)
+        run_deployment(work, zones=1)
 
     def test_live_holder_that_peers_cannot_reach_keeps_its_lease(self) -> None:
         """A live holder that peers presume dead keeps its guarded lease."""
@@ -204,7 +206,7 @@
             lease.check()
             await guarded_write(deployment, lease)
 
-        run_world(work, zones=1)
+        run_deployment(work, zones=1)
 
 
 class TestLostAnswers:
@@ -228,7 +230,7 @@
             lease = await acquire(cores[0], 3.0)
             lease.check()
 
-        run_world(work)
+        run_deployment(work)
 
     def test_renewals_survive_lost_answers(self) -> None:
         """With 30% of the responses lost the holder keeps its lease for two minutes."""
@@ -240,4 +242,4 @@
                 await asyncio.sleep(0.5)
                 lease.check()
 
-        run_world(work)
+        run_deployment(work)
--- a/tests/state/test_partition.py
+++ b/tests/state/test_partition.py
@@ -27,7 +27,7 @@
 )  # Half of the table's 2000 reads per second, shared by 420 daemons.
 
 
-def run_world(work: Callable[[Deployment, list[Core]], Awaitable[Any]]) -> Any:
+def run_deployment(work: Callable[[Deployment, list[Core]], Awaitable[Any]]) -> Any:
     async def scenario() -> Any:
         deployment = Deployment()
         for index in range(3):
@@ -83,7 +83,7 @@
             await answer(cores[1])
             assert deployment.clock.monotonic_s() - started_s < usual_s + 0.5
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestIsolatedZone:
@@ -96,7 +96,7 @@
             assert cores[0].ready and cores[3].ready
             await answer(cores[0])
 
-        run_world(work)
+        run_deployment(work)
 
     def test_daemon_started_inside_serves(self) -> None:
         """A daemon started inside the isolated zone becomes ready and answers."""
@@ -110,7 +110,7 @@
             assert fresh.ready
             await answer(fresh)
 
-        run_world(work)
+        run_deployment(work)
 
     def test_healed_partition_causes_no_read_storm(self) -> None:
         """After a partition heals membership is complete in 15 s, within the read budget."""
@@ -126,7 +126,7 @@
             assert len(zones) == 3
             assert deployment.table.reads - reads_before < 15 * len(cores) * READS_PER_DAEMON_S
 
-        run_world(work)
+        run_deployment(work)
 
 
 class TestMassRestart:
@@ -146,4 +146,4 @@
                 assert len(core.peers.peers()) == len(again) - 1
                 assert len(core.fleet.all()) == 3
 
-        run_world(work)
+        run_deployment(work)
