--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -291,7 +291,7 @@
 
     @rule(index=DAEMONS, number=st.integers(0, 20))
     def ask_truncated(self, index: int, number: int) -> None:
-        """A caller asks while every engine drops its end marks for two seconds."""
+        """A caller asks while every engine drops its end markers for two seconds."""
 
         async def ask() -> None:
             faults = [engine.faults for engine in self.simulation.deployment.engines.values()]
--- a/tests/fuzz/test_fuzz.py
+++ b/tests/fuzz/test_fuzz.py
@@ -40,6 +40,6 @@
         """No sequence of application calls and faults violates a promise."""
         fuzz(CallerMachine)
 
-    def test_together(self) -> None:
+    def test_trainers_and_callers(self) -> None:
         """No sequence of trainer calls, application calls and faults violates a promise."""
         fuzz(ServiceMachine)
--- a/tests/routing/test_engine_http.py
+++ b/tests/routing/test_engine_http.py
@@ -17,7 +17,7 @@
 
 
 def end(count: int) -> bytes:
-    """Return the chunk with the token count, followed by the end mark."""
+    """Return the chunk with the token count, followed by the end marker."""
     event = GenerationEnded(attempt_id="a", token_count=count, finish_reason="stop")
     return b"data: " + msgspec.json.encode(chunk_payload(event, "m")) + b"\n\ndata: [DONE]\n\n"
 
@@ -43,7 +43,7 @@
         events = read([line(0, (1,)) + line(1, (2,), 2) + end(2)])
         assert [getattr(event, "version", None) for event in events] == [1, 2, None]
 
-    def test_gap_is_kept_visible(self) -> None:
+    def test_chunks_around_a_gap_are_not_merged(self) -> None:
         """Chunks that are not consecutive are not merged, so that the gap can be detected."""
         events = read([line(0, (1,)) + line(5, (2,))])
         assert [event.start for event in events if isinstance(event, TokensGenerated)] == [0, 5]
@@ -64,8 +64,8 @@
         assert [token for event in tokens for token in event.token_ids] == [1, 2, 3, 4]
         assert isinstance(events[-1], GenerationEnded) and events[-1].token_count == 4
 
-    def test_end_mark_without_length_is_truncated(self) -> None:
-        """An end mark without the token count means that the stream was truncated."""
+    def test_end_marker_without_length_is_truncated(self) -> None:
+        """An end marker without the token count means that the stream was truncated."""
         with pytest.raises(StreamTruncated):
             read([line(0, (1,)) + b"data: [DONE]\n\n"])
 
