--- a/tests/routing/generations.py
+++ b/tests/routing/generations.py
@@ -35,7 +35,7 @@
 DISCOVERY_S = 8.0
 
 
-def scenario(
+def run_deployment(
     work: Callable[[Deployment], Awaitable[Any]], regions: tuple[str, ...] = ("bangkok",)
 ) -> Any:
     """Run *work* in a new deployment on virtual time."""
--- a/tests/routing/test_generations.py
+++ b/tests/routing/test_generations.py
@@ -10,7 +10,7 @@
     count_starts,
     is_complete,
     make_request,
-    scenario,
+    run_deployment,
     start,
 )
 from verbenawind.daemon import Core
@@ -61,10 +61,10 @@
             assert is_complete(await task, request)
             assert count_starts(deployment, request.request_id) == 2
 
-        scenario(work)
+        run_deployment(work)
 
-    def test_missing_end_mark_is_resumed_elsewhere(self) -> None:
-        """A stream without its end mark is resumed after the tokens received so far."""
+    def test_missing_end_marker_is_resumed_elsewhere(self) -> None:
+        """A stream without its end marker is resumed after the tokens received so far."""
 
         async def work(deployment: Deployment) -> None:
             (core,) = await start(deployment, engines=2)
@@ -77,10 +77,10 @@
                 engine.faults.drop_end_marker = False
             assert is_complete(await task, request)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_stream_that_never_ends_is_an_error(self) -> None:
-        """If no engine sends an end mark, the caller gets an error, not a truncated answer."""
+        """If no engine sends an end marker, the caller gets an error, not a truncated answer."""
 
         async def work(deployment: Deployment) -> None:
             (core,) = await start(deployment, engines=2)
@@ -90,7 +90,7 @@
             assert isinstance(answer, VerbenawindError)
             assert answer.outcome is not Outcome.NOT_RUN
 
-        scenario(work)
+        run_deployment(work)
 
     def test_answers_go_to_their_own_callers(self) -> None:
         """Concurrent answers that finish out of order each reach their own request completely."""
@@ -101,7 +101,7 @@
             answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
             assert all(map(is_complete, answers, requests))
 
-        scenario(work)
+        run_deployment(work)
 
     def test_caller_disconnect_cancels_the_generation(self) -> None:
         """Closing the stream cancels the generation on the engine."""
@@ -113,7 +113,7 @@
             await events.aclose()
             assert count_running(deployment) == 0
 
-        scenario(work)
+        run_deployment(work)
 
     @pytest.mark.parametrize("daemon", [0, 1])
     def test_reconnect_gets_the_complete_answer(self, daemon: int) -> None:
@@ -130,7 +130,7 @@
             assert is_complete(answer, request)
             assert isinstance(answer, list) and answer[:3] == first
 
-        scenario(work)
+        run_deployment(work)
 
     @pytest.mark.parametrize("daemon", [0, 1])
     def test_reconnect_takes_over_a_running_stream(self, daemon: int) -> None:
@@ -147,7 +147,7 @@
             assert isinstance(await old, VerbenawindError)
             assert count_running(deployment) == 0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_finished_answer_is_replayed(self) -> None:
         """A repeat of a finished request gets the same events without running again."""
@@ -159,7 +159,7 @@
             assert first == second
             assert count_starts(deployment, "r1") == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_rollout_sample_is_drawn_again(self) -> None:
         """A rollout sample that is requested again under the same id runs again."""
@@ -171,7 +171,7 @@
             assert is_complete(await collect_events(core, request), request)
             assert count_starts(deployment, "r1") == 2
 
-        scenario(work)
+        run_deployment(work)
 
     def test_reused_request_id_is_refused(self) -> None:
         """A request id that was used with a different prompt is refused as invalid."""
@@ -183,7 +183,7 @@
                 await collect_events(core, make_request(core, prompt="other")), InvalidRequest
             )
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestRefusals:
@@ -208,7 +208,7 @@
             for task in flood:
                 task.cancel()
 
-        scenario(work)
+        run_deployment(work)
 
     def test_refused_as_not_run_never_started(self) -> None:
         """Under fourfold overload no request that was refused as not_run was started."""
@@ -230,7 +230,7 @@
             assert refused
             assert not any(count_starts(deployment, request_id) for request_id in refused)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_refusal_after_a_lost_connection_may_have_run(self) -> None:
         """A request cut off from its only engine before the first token reports may_have_run."""
@@ -247,7 +247,7 @@
             assert isinstance(error, VerbenawindError)
             assert error.outcome is Outcome.MAY_HAVE_RUN
 
-        scenario(work, regions=("bangkok", "hat-yai"))
+        run_deployment(work, regions=("bangkok", "hat-yai"))
 
     def test_refusal_without_another_engine_may_have_run(self) -> None:
         """A request lost by its only engine, with no other available, reports may_have_run."""
@@ -265,7 +265,7 @@
             assert isinstance(error, NoBackendServer)
             assert error.outcome is Outcome.MAY_HAVE_RUN
 
-        scenario(work, regions=("bangkok", "hat-yai"))
+        run_deployment(work, regions=("bangkok", "hat-yai"))
 
     def test_passed_deadline_is_refused_before_dispatch(self) -> None:
         """A request that arrives after its deadline is never dispatched."""
@@ -276,7 +276,7 @@
             assert isinstance(answer, DeadlineExceeded) and answer.outcome is Outcome.NOT_RUN
             assert count_starts(deployment, "r1") == 0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_pool_without_engines_is_refused_within_seconds(self) -> None:
         """With all engines down an application request fails long before its deadline."""
@@ -291,7 +291,7 @@
             assert isinstance(answer, NoBackendServer) and answer.outcome is Outcome.NOT_RUN
             assert deployment.clock.monotonic_s() - before_s < 10.0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_caller_over_its_rate_is_limited(self) -> None:
         """A caller above its rate is refused as rate limited while another caller is served."""
@@ -308,7 +308,7 @@
             assert limited and (limited[0].retry_after_s or 0) > 0
             assert is_complete(await collect_events(core, make_request(core)), make_request(core))
 
-        scenario(work)
+        run_deployment(work)
 
     def test_caller_over_its_concurrency_is_limited(self) -> None:
         """A caller with too many requests in flight is refused further ones."""
@@ -323,7 +323,7 @@
             done = await asyncio.gather(*answers)
             assert any(isinstance(answer, RateLimited) for answer in done)
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestRetries:
@@ -339,7 +339,7 @@
             attempts = sum(count_starts(deployment, request.request_id) for request in requests)
             assert attempts <= 200 * 1.1 + 64 + 25
 
-        scenario(work)
+        run_deployment(work)
 
     def test_pool_with_half_of_the_engines_down_serves_all(self) -> None:
         """With half of the engines unreachable every request is still answered."""
@@ -352,7 +352,7 @@
             answers = await asyncio.gather(*(collect_events(core, request) for request in requests))
             assert all(map(is_complete, answers, requests))
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestLeaving:
@@ -386,7 +386,7 @@
             assert started == len(leaving.started_request_ids)
             assert all(isinstance(answer, list) for answer in answers)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_refusal_of_a_leaving_engine_marks_it(self) -> None:
         """The first refusal by a leaving engine marks it as leaving; the request runs elsewhere."""
@@ -407,7 +407,7 @@
             assert "again" not in first.started_request_ids
             await events.aclose()
 
-        scenario(work)
+        run_deployment(work)
 
     def test_queued_request_avoids_a_leaving_engine(self) -> None:
         """A queued request is not dispatched to an engine that was marked as leaving meanwhile."""
@@ -427,7 +427,7 @@
             assert len(deployment.engines["engine-0"].started_request_ids) == started
             assert all(isinstance(answer, list) for answer in answers)
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestDrain:
@@ -446,7 +446,7 @@
             await drain
             assert task.done() and is_complete(await task, request)
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestReserve:
@@ -481,7 +481,7 @@
                 for answer in done
             )
 
-        scenario(work)
+        run_deployment(work)
 
 
 def _fields(request: GenerateRequest) -> dict[str, object]:
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -65,7 +65,7 @@
     return sum(service.runs[key] for service in deployment.services.values())
 
 
-def scenario(work: Callable[[Deployment], Awaitable[Any]]) -> Any:
+def run_deployment(work: Callable[[Deployment], Awaitable[Any]]) -> Any:
     """Run *work* in a new deployment on virtual time."""
 
     async def run_and_stop() -> Any:
@@ -101,7 +101,7 @@
             assert answer.status == 200
             assert count_runs(deployment) == 2
 
-        scenario(work)
+        run_deployment(work)
 
     def test_retries_end_at_the_deadline(self) -> None:
         """With every host unreachable, retries end by the deadline with a correct outcome."""
@@ -116,7 +116,7 @@
             assert isinstance(error, VerbenawindError)
             assert error.outcome is Outcome.NOT_RUN or isinstance(error, DeadlineExceeded)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_refusal_after_a_lost_response_may_have_run(self) -> None:
         """A request that ran, lost its response and was then refused reports may_have_run."""
@@ -137,7 +137,7 @@
             assert isinstance(error, VerbenawindError)
             assert error.outcome is Outcome.MAY_HAVE_RUN
 
-        scenario(work)
+        run_deployment(work)
 
 
 class TestAtMostOnce:
@@ -150,7 +150,7 @@
                 await cores[0].dispatcher.call_service(booking(cores[0], None), SPEC)
             assert caught.value.outcome is Outcome.NOT_RUN
 
-        scenario(work)
+        run_deployment(work)
 
     def test_repeat_gets_recorded_response_at_any_daemon(self) -> None:
         """Repeats at the same and at another daemon return the first response without a rerun."""
@@ -163,7 +163,7 @@
             assert first.body == again.body == other.body
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_large_response_is_recorded_completely(self) -> None:
         """A response too large for a table row is returned completely by another daemon."""
@@ -176,7 +176,7 @@
             assert first.body == other.body and len(first.body) > 20_000
             assert max(len(row.value) for row in deployment.table.rows.values()) < 5_000
 
-        scenario(work)
+        run_deployment(work)
 
     def test_concurrent_repeats_run_once(self) -> None:
         """Repeats during execution, at the same or another daemon, wait for the same run."""
@@ -191,7 +191,7 @@
             assert len({answer.body for answer in answers}) == 1
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_other_body_is_refused(self) -> None:
         """A different body under the same key is refused by both daemons and does not run."""
@@ -204,7 +204,7 @@
                     await core.dispatcher.call_service(booking(core, body=b"capes"), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_lost_service_response_is_never_resent(self) -> None:
         """After a dropped connection the request and its repeats fail with may_have_run."""
@@ -219,7 +219,7 @@
                 assert caught.value.outcome is Outcome.MAY_HAVE_RUN
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_unavailable_table_refuses_as_not_run(self) -> None:
         """With the table down nothing is dispatched; the key is usable after it recovers."""
@@ -235,7 +235,7 @@
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     @pytest.mark.parametrize("lost", [1, 2, 3])
     def test_lost_claim_response_is_resolved(self, lost: int) -> None:
@@ -248,7 +248,7 @@
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_unresolved_claim_is_not_dispatched(self) -> None:
         """An unresolved claim is refused as not_run, and its holder may claim the key later."""
@@ -264,7 +264,7 @@
             await cores[0].dispatcher.call_service(booking(cores[0]), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_crash_after_claim_makes_repeats_unknown(self) -> None:
         """A repeat fails with may_have_run if the holder died between claim and outcome."""
@@ -277,7 +277,7 @@
                 await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert count_runs(deployment) == 0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_unreachable_hosts_leave_the_key_usable(self) -> None:
         """If no host was reachable the outcome is not_run, and a repeat elsewhere may run."""
@@ -294,7 +294,7 @@
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_caller_disconnect_does_not_lose_the_outcome(self) -> None:
         """The outcome of a request whose caller disconnected is recorded for its repeat."""
@@ -310,7 +310,7 @@
             await cores[1].dispatcher.call_service(booking(cores[1]), SPEC)
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
 
     def test_outcome_is_recorded_after_the_table_recovers(self) -> None:
         """An outcome that could not be written is written once the table is available again."""
@@ -329,4 +329,4 @@
             assert first.body == other.body
             assert count_runs(deployment) == 1
 
-        scenario(work)
+        run_deployment(work)
--- a/tests/routing/test_suspects.py
+++ b/tests/routing/test_suspects.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from routing.generations import collect_events, is_complete, make_request, scenario, start
+from routing.generations import collect_events, is_complete, make_request, run_deployment, start
 from verbenawind.daemon import Core
 from verbenawind.errors import Outcome, RequestConvicted
 from verbenawind.kernel.messages import GenerateRequest
@@ -49,7 +49,7 @@
             assert isinstance(last, RequestConvicted)
             assert last.outcome is Outcome.NOT_RUN and (last.retry_after_s or 0) > 0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_other_requests_on_crashed_engines_are_answered(self) -> None:
         """Other requests in flight on the crashing engines get complete answers at each daemon."""
@@ -75,7 +75,7 @@
             ]
             assert all(complete)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_truncated_stream_raises_no_suspicion(self) -> None:
         """A truncated stream from an engine that keeps running makes no request a suspect."""
@@ -91,7 +91,7 @@
             await task
             assert not core.peers.items("suspect")
 
-        scenario(work)
+        run_deployment(work)
 
     def test_unrelated_engine_crash_convicts_no_request(self) -> None:
         """After a crash that no request caused, all requests in flight are answered and cleared."""
@@ -110,7 +110,7 @@
                 make_request(core, "i99", "job 1"),
             )
 
-        scenario(work)
+        run_deployment(work)
 
     def test_convicted_innocent_is_answered_after_a_short_term(self) -> None:
         """Two unrelated engine crashes delay an innocent request by 20 seconds at most."""
@@ -129,7 +129,7 @@
             assert is_complete(await collect_events(core, again), again)
             assert is_complete(await collect_events(core, again), again)
 
-        scenario(work)
+        run_deployment(work)
 
     def test_repeated_conviction_has_a_long_term(self) -> None:
         """After its first term a crashing request crashes one more engine and is refused longer."""
@@ -145,7 +145,7 @@
                 assert isinstance(answer, RequestConvicted)
                 assert (answer.retry_after_s or 0.0) > 300.0
 
-        scenario(work)
+        run_deployment(work)
 
     def test_network_partition_raises_no_suspicion(self) -> None:
         """Streams from a partitioned zone continue on other engines without trials."""
@@ -161,4 +161,4 @@
             await asyncio.gather(*tasks)
             assert not cores[0].peers.items("suspect")
 
-        scenario(work, regions=("bangkok", "hat-yai"))
+        run_deployment(work, regions=("bangkok", "hat-yai"))
