--- a/tests/membership/test_bus.py
+++ b/tests/membership/test_bus.py
@@ -192,8 +192,8 @@
 
         run_cluster({"a": 5}, work)
 
-    def test_duplicate_id_is_settled(self) -> None:
-        """Of two running daemons with one id exactly one gives way; incarnations settle."""
+    def test_duplicate_id_is_resolved(self) -> None:
+        """Of two running daemons with one id exactly one is superseded; incarnations get stable."""
 
         async def work(cluster: Cluster) -> None:
             first = cluster.buses["a-1"]
@@ -326,7 +326,7 @@
 
         run_cluster({"a": 3}, work)
 
-    def test_expired_items_vanish(self) -> None:
+    def test_expired_items_are_removed(self) -> None:
         """An item disappears after its expiry, and peers do not restore it."""
 
         async def work(cluster: Cluster) -> None:
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -30,7 +30,7 @@
 class TestLostOwner:
     @pytest.mark.parametrize("seed", range(4))
     def test_job_of_killed_daemon_is_taken_over_within_1_2_s(self, seed: int) -> None:
-        """If the owner's host refuses connections, no longer silence is awaited for a takeover."""
+        """If the owner's host refuses connections, no heartbeat timeout is awaited."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=150, before_s=1.0 + seed * 0.13)
@@ -60,10 +60,10 @@
         run_fleet(work)
 
     @pytest.mark.parametrize("outage_s", [0.0, 7.0])
-    def test_job_of_unreachable_host_is_taken_over_after_the_shorter_silence(
+    def test_job_of_unreachable_host_is_taken_over_after_the_shorter_timeout(
         self, outage_s: float
     ) -> None:
-        """A host without heartbeats that does not respond to probes is given a shorter silence."""
+        """A host without heartbeats that does not respond to probes has a shorter timeout."""
 
         async def work(fleet: Fleet) -> None:
             submission, owner = await run_job(fleet, events=400)
@@ -79,7 +79,7 @@
 
         run_fleet(work)
 
-    def test_silent_owner_that_accepts_connections_is_given_the_longer_silence(self) -> None:
+    def test_silent_owner_that_accepts_connections_has_the_longer_timeout(self) -> None:
         """An owner that cannot write heartbeats but accepts connections keeps its job longer."""
 
         async def work(fleet: Fleet) -> None:
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -121,12 +121,12 @@
         async def work(deployment: Deployment, cores: list[Core]) -> None:
             original = deployment.table.commit
 
-            async def silent(transaction: Transaction) -> None:
+            async def commit_without_answer(transaction: Transaction) -> None:
                 await original(transaction)
                 deployment.table.faults.down = True
                 raise StoreUnavailable("no answer", effect_possible=True)
 
-            deployment.table.commit = silent  # type: ignore[method-assign]
+            deployment.table.commit = commit_without_answer  # type: ignore[method-assign]
             with pytest.raises(StoreUnavailable) as caught:
                 await cores[0].configuration.accept(document(), Stage.PRODUCTION)
             assert caught.value.effect_possible
@@ -176,7 +176,7 @@
 
 
 class TestFreshDaemon:
-    def test_takes_the_peers_revision_while_the_platform_is_away(self) -> None:
+    def test_takes_the_peers_revision_without_the_platform(self) -> None:
         """A daemon started without the platform becomes ready with its peers' newest revision."""
 
         async def work(deployment: Deployment, cores: list[Core]) -> None:
@@ -206,7 +206,7 @@
 
         run_deployment(work)
 
-    def test_stays_unready_until_it_learns(self) -> None:
+    def test_stays_unready_until_the_platform_returns(self) -> None:
         """A single daemon without the platform is not ready until the platform returns."""
 
         async def work(deployment: Deployment, cores: list[Core]) -> None:
--- a/tests/state/test_heartbeats.py
+++ b/tests/state/test_heartbeats.py
@@ -5,9 +5,9 @@
 from verbenawind.state.heartbeats import HOSTS_TABLE
 
 
-class TestSilence:
+class TestMissedHeartbeats:
     def test_silent_owner_is_gone_after_two_seconds(self) -> None:
-        """A host without heartbeats is presumed gone within 2.5 s, but not at one missed beat."""
+        """A host without heartbeats is presumed gone in 2.5 s, but not after one missed write."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -43,7 +43,7 @@
 
 class TestIncarnations:
     def test_replaced_process_is_gone_at_once(self) -> None:
-        """A process is gone as soon as its successor on the same host has written a heartbeat."""
+        """A process is presumed gone once its successor on the host has written a heartbeat."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -59,7 +59,7 @@
 
         run_fleet(work)
 
-    def test_process_whose_first_beat_is_late_is_not_gone(self) -> None:
+    def test_process_whose_first_heartbeat_is_late_is_not_gone(self) -> None:
         """A new process that owns work before its first heartbeat arrives is not presumed gone."""
 
         async def work(fleet: Fleet) -> None:
@@ -75,7 +75,7 @@
         run_fleet(work)
 
     def test_leaving_host_is_gone_at_once(self) -> None:
-        """A host that announces that it leaves is gone at once."""
+        """A host that announces its departure is presumed gone at once."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
@@ -91,7 +91,7 @@
 
 
 class TestWrites:
-    def test_idle_hosts_beat_rarely(self) -> None:
+    def test_idle_hosts_write_rarely(self) -> None:
         """Hosts without work write a row every few seconds, not several per second."""
 
         async def work(fleet: Fleet) -> None:
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -216,14 +216,14 @@
         async def work(deployment: Deployment, cores: list[Core]) -> None:
             original = deployment.table.commit
 
-            async def silent(transaction: Transaction) -> None:
+            async def commit_without_answer(transaction: Transaction) -> None:
                 if not transaction.writes[0].key.startswith("lease/work/"):
                     return await original(transaction)
                 with contextlib.suppress(ConditionFailed):
                     await original(transaction)
                 raise StoreUnavailable("no answer", effect_possible=True)
 
-            deployment.table.commit = silent  # type: ignore[method-assign]
+            deployment.table.commit = commit_without_answer  # type: ignore[method-assign]
             assert await cores[0].leases.acquire("work", DURATION_S) is None
             assert "lease/work/guard" in deployment.table.rows
             deployment.table.commit = original  # type: ignore[method-assign]
--- a/tests/state/test_partition.py
+++ b/tests/state/test_partition.py
@@ -87,7 +87,7 @@
 
 
 class TestIsolatedZone:
-    def test_still_answers(self) -> None:
+    def test_isolated_zone_answers(self) -> None:
         """A zone isolated from the platform and other zones stays ready and answers."""
 
         async def work(deployment: Deployment, cores: list[Core]) -> None:
@@ -98,8 +98,8 @@
 
         run_deployment(work)
 
-    def test_daemon_started_inside_serves(self) -> None:
-        """A daemon started inside the isolated zone becomes ready and answers."""
+    def test_daemon_started_in_an_isolated_zone_answers(self) -> None:
+        """A daemon started in the isolated zone becomes ready and answers."""
 
         async def work(deployment: Deployment, cores: list[Core]) -> None:
             isolate(deployment, cores[0].settings.zone)
