--- a/tests/batches/test_ordering.py
+++ b/tests/batches/test_ordering.py
@@ -146,7 +146,7 @@
         without_slow = sum(simulate(step, by_rank, soonest, [0.04, 0.04], 16) for step in made)
         assert slow <= 1.05 * without_slow
 
-    def test_engines_that_others_use_are_not_crowded(self) -> None:
+    def test_engines_that_others_use_are_not_overloaded(self) -> None:
         """Of two trainers on one pool, each mostly stays within its share of the fast engines."""
         outstanding = {"fast": 0, "slow": 0}
         for _ in range(8):
--- a/tests/membership/test_bus.py
+++ b/tests/membership/test_bus.py
@@ -193,7 +193,7 @@
         run_cluster({"a": 5}, work)
 
     def test_duplicate_id_is_resolved(self) -> None:
-        """Of two running daemons with one id exactly one is superseded; incarnations get stable."""
+        """Exactly one of two daemons with one id is superseded, and incarnations stop changing."""
 
         async def work(cluster: Cluster) -> None:
             first = cluster.buses["a-1"]
--- a/tests/node/test_orders.py
+++ b/tests/node/test_orders.py
@@ -154,7 +154,7 @@
 
         run_fleet(work)
 
-    def test_orders_of_successive_holders_keep_their_distance(self) -> None:
+    def test_orders_of_successive_holders_keep_the_minimum_gap(self) -> None:
         """When holders are killed, a successor leaves the minimum gap after the last order."""
 
         async def work(fleet: Fleet) -> None:
--- a/tests/state/test_heartbeats.py
+++ b/tests/state/test_heartbeats.py
@@ -7,7 +7,7 @@
 
 class TestMissedHeartbeats:
     def test_silent_owner_is_gone_after_two_seconds(self) -> None:
-        """A host without heartbeats is presumed gone in 2.5 s, but not after one missed write."""
+        """A host without heartbeats is presumed gone within 2.5 s, but not after a missed one."""
 
         async def work(fleet: Fleet) -> None:
             await fleet.start(hosts=2)
