--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -47,14 +47,14 @@
     frozen or partitioned; in that case about half the usual heartbeat timeout is enough.
 
     Args:
-        beats: Heartbeats of all daemons.
+        heartbeats: Heartbeats of all daemons.
         probe: Connects to a host.
         clock: Time source.
     """
 
     __slots__ = (
-        "_beats",
         "_clock",
+        "_heartbeats",
         "_log",
         "_probe",
         "_probed_at_s",
@@ -63,8 +63,8 @@
         "_unanswered",
     )
 
-    def __init__(self, beats: HostHeartbeats, probe: PeerProbe, clock: Clock) -> None:
-        self._beats = beats
+    def __init__(self, heartbeats: HostHeartbeats, probe: PeerProbe, clock: Clock) -> None:
+        self._heartbeats = heartbeats
         self._probe = probe
         self._clock = clock
         self._probed_at_s: dict[str, float] = {}
@@ -85,46 +85,46 @@
             return True
         probed_at_s = self._unanswered.get(owner_id, float("-inf"))
         unanswered = self._clock.monotonic_s() - probed_at_s < _UNANSWERED_TTL_S
-        return self._beats.is_gone(owner_id, since_s, unanswered=unanswered)
+        return self._heartbeats.is_gone(owner_id, since_s, unanswered=unanswered)
 
-    def last_beat_if_silent(self, owner_id: str, since_s: float) -> HostHeartbeat | None:
+    def last_heartbeat_if_silent(self, owner_id: str, since_s: float) -> HostHeartbeat | None:
         """Return the last heartbeat of an owner that should be probed, None if it is not silent."""
-        return self._beats.silent_owner(owner_id, since_s, _PROBE_AFTER_S)
+        return self._heartbeats.silent_owner(owner_id, since_s, _PROBE_AFTER_S)
 
-    def start_probe(self, beat: HostHeartbeat) -> None:
+    def start_probe(self, heartbeat: HostHeartbeat) -> None:
         """Probe the host of a silent owner, unless it was probed very recently."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._probed_at_s.get(beat.host, float("-inf")) < _PROBE_PERIOD_S:
+        if now_s - self._probed_at_s.get(heartbeat.host, float("-inf")) < _PROBE_PERIOD_S:
             return
-        self._probed_at_s[beat.host] = now_s
-        task = asyncio.get_running_loop().create_task(self._probe_owner(beat))
+        self._probed_at_s[heartbeat.host] = now_s
+        task = asyncio.get_running_loop().create_task(self._probe_owner(heartbeat))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _probe_owner(self, beat: HostHeartbeat) -> None:
-        answer = await self._probe.connect(beat.address)
+    async def _probe_owner(self, heartbeat: HostHeartbeat) -> None:
+        answer = await self._probe.connect(heartbeat.address)
         now_s = self._clock.monotonic_s()
         self._unanswered = {
             owner_id: probed_at_s
             for owner_id, probed_at_s in self._unanswered.items()
-            if owner_id != beat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
+            if owner_id != heartbeat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
         }
         if answer is ProbeResult.NONE:
-            self._unanswered[beat.owner_id] = now_s
+            self._unanswered[heartbeat.owner_id] = now_s
             self._log.info(
                 "owner_unanswered",
-                owner=beat.owner_id,
-                address=beat.address,
-                view_age_s=round(self._beats.view_age_s(), 2),
+                owner=heartbeat.owner_id,
+                address=heartbeat.address,
+                view_age_s=round(self._heartbeats.view_age_s(), 2),
             )
         if answer is not ProbeResult.REFUSED:
             return
-        self._refused[beat.owner_id] = None
+        self._refused[heartbeat.owner_id] = None
         while len(self._refused) > _MAX_REFUSED:
             self._refused.popitem(last=False)
         self._log.info(
             "owner_refuses",
-            owner=beat.owner_id,
-            address=beat.address,
-            view_age_s=round(self._beats.view_age_s(), 2),
+            owner=heartbeat.owner_id,
+            address=heartbeat.address,
+            view_age_s=round(self._heartbeats.view_age_s(), 2),
         )
--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -34,14 +34,14 @@
         job_store: Persistent record of jobs.
         job_registry: Known jobs.
         runner: Runs the jobs that are placed on this daemon.
-        beats: Heartbeats of the daemons that may run jobs.
+        heartbeats: Heartbeats of the daemons that may run jobs.
         store_ms: Returns the store's time.
         clock: Time source.
     """
 
     __slots__ = (
-        "_beats",
         "_clock",
+        "_heartbeats",
         "_job_registry",
         "_job_store",
         "_log",
@@ -55,11 +55,11 @@
         job_store: JobStore,
         job_registry: JobRegistry,
         runner: BatchRunner,
-        beats: HostHeartbeats,
+        heartbeats: HostHeartbeats,
         store_ms: Callable[[], int],
         clock: Clock,
     ) -> None:
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._job_store = job_store
         self._job_registry = job_registry
         self._runner = runner
@@ -86,9 +86,9 @@
         placement = place_job(
             f"{submission.host}/{submission.model}",
             self._runner.owner,
-            [beat.owner_id for beat in self._beats.live_zone_peers()],
+            [heartbeat.owner_id for heartbeat in self._heartbeats.live_zone_peers()],
             stopping=self._runner.stopping,
-            view_is_fresh=self._beats.view_is_fresh,
+            view_is_fresh=self._heartbeats.view_is_fresh,
         )
         record = JobRecord(
             job_id=job_id,
--- a/src/verbenawind/batches/takeover.py
+++ b/src/verbenawind/batches/takeover.py
@@ -40,14 +40,14 @@
         job_registry: Known jobs.
         job_store: Persistent record of jobs.
         runner: Runs claimed jobs.
-        beats: Heartbeats of all daemons.
+        heartbeats: Heartbeats of all daemons.
         owner_monitor: Decides whether owners have failed.
         clock: Time source.
     """
 
     __slots__ = (
-        "_beats",
         "_clock",
+        "_heartbeats",
         "_job_registry",
         "_job_store",
         "_log",
@@ -63,14 +63,14 @@
         job_registry: JobRegistry,
         job_store: JobStore,
         runner: BatchRunner,
-        beats: HostHeartbeats,
+        heartbeats: HostHeartbeats,
         owner_monitor: OwnerMonitor,
         clock: Clock,
     ) -> None:
         self._job_registry = job_registry
         self._job_store = job_store
         self._runner = runner
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._owner_monitor = owner_monitor
         self._clock = clock
         self._ownerless_since_s: dict[str, float] = {}
@@ -95,9 +95,11 @@
             return
         if record.owner and not self._owner_monitor.is_gone(record.owner, known.owned_since_s):
             self._ownerless_since_s.pop(record.job_id, None)
-            last_beat = self._owner_monitor.last_beat_if_silent(record.owner, known.owned_since_s)
-            if last_beat is not None and self._may_probe(record):
-                self._owner_monitor.start_probe(last_beat)
+            last_heartbeat = self._owner_monitor.last_heartbeat_if_silent(
+                record.owner, known.owned_since_s
+            )
+            if last_heartbeat is not None and self._may_probe(record):
+                self._owner_monitor.start_probe(last_heartbeat)
             return
         now_s = self._clock.monotonic_s()
         since_s = self._ownerless_since_s.setdefault(record.job_id, now_s)
@@ -110,11 +112,11 @@
         return self._own_delay_s(record.job_id, record.owner) < _PROBING_RANKS * _RANK_DELAY_S
 
     def _own_delay_s(self, job_id: str, owner: str) -> float:
-        own_host = self._beats.own.host
+        own_host = self._heartbeats.own.host
         former_host = host_of(owner)
         if former_host == own_host:
             return 0.0
-        return claim_delay_s(job_id, own_host, self._beats.claimants([former_host]))
+        return claim_delay_s(job_id, own_host, self._heartbeats.claimants([former_host]))
 
     async def _claim(self, known: KnownJob) -> None:
         record = known.record
@@ -125,7 +127,7 @@
             former_owner=record.owner,
             epoch=claimed.epoch,
             owned_since_s=round(self._clock.monotonic_s() - known.owned_since_s, 2),
-            view_age_s=round(self._beats.view_age_s(), 2),
+            view_age_s=round(self._heartbeats.view_age_s(), 2),
         )
         try:
             stored = await self._job_store.update(known.job, claimed, _CLAIM_TIMEOUT_S)
--- a/src/verbenawind/node.py
+++ b/src/verbenawind/node.py
@@ -272,7 +272,7 @@
         await asyncio.gather(
             self.lease.release(),
             self.runner.hand_over(_HAND_OVER_TIMEOUT_S),
-            self.heartbeats.beat(leaving=True),
+            self.heartbeats.write(leaving=True),
         )
 
     def kill(self) -> None:
--- a/src/verbenawind/state/heartbeats.py
+++ b/src/verbenawind/state/heartbeats.py
@@ -60,10 +60,10 @@
 
 
 class _ReceivedHeartbeat:
-    __slots__ = ("at_s", "beat", "version")
+    __slots__ = ("at_s", "heartbeat", "version")
 
-    def __init__(self, beat: HostHeartbeat, version: int, at_s: float) -> None:
-        self.beat = beat
+    def __init__(self, heartbeat: HostHeartbeat, version: int, at_s: float) -> None:
+        self.heartbeat = heartbeat
         self.version = version
         self.at_s = at_s
 
@@ -129,18 +129,18 @@
             self._received.pop(host, None)
             return
         try:
-            beat = msgspec.json.decode(row.value, type=HostHeartbeat)
+            heartbeat = msgspec.json.decode(row.value, type=HostHeartbeat)
         except msgspec.MsgspecError as error:
             self._log.warning("beat_unreadable", peer=host, error=str(error))
             return
         previous = self._received.get(host)
-        if previous is None or previous.beat.incarnation != beat.incarnation:
-            self._log.info("host_seen", peer=host, incarnation=beat.incarnation)
+        if previous is None or previous.heartbeat.incarnation != heartbeat.incarnation:
+            self._log.info("host_seen", peer=host, incarnation=heartbeat.incarnation)
             if previous is not None:
-                self._replaced_owners.add(previous.beat.owner_id)
+                self._replaced_owners.add(previous.heartbeat.owner_id)
         if host == self._own.host:
             self._version = max(self._version, row.version)
-        self._received[host] = _ReceivedHeartbeat(beat, row.version, self._clock.monotonic_s())
+        self._received[host] = _ReceivedHeartbeat(heartbeat, row.version, self._clock.monotonic_s())
 
     def on_feed_response(self, silent_s: float) -> None:
         """Allow every daemon time to write a heartbeat after an outage of the table.
@@ -154,9 +154,9 @@
     def others(self) -> Sequence[HostHeartbeat]:
         """Return the latest heartbeats of the other daemons that are not leaving."""
         return [
-            received.beat
+            received.heartbeat
             for host, received in self._received.items()
-            if host != self._own.host and not received.beat.leaving
+            if host != self._own.host and not received.heartbeat.leaving
         ]
 
     @property
@@ -168,10 +168,10 @@
         """Return the other daemons of this availability zone with a recent heartbeat."""
         now_s = self._clock.monotonic_s()
         return [
-            beat
-            for beat in self.others()
-            if beat.location.zone == self._own.location.zone
-            and now_s - self._received[beat.host].at_s <= _IDLE_TIMEOUT_S
+            heartbeat
+            for heartbeat in self.others()
+            if heartbeat.location.zone == self._own.location.zone
+            and now_s - self._received[heartbeat.host].at_s <= _IDLE_TIMEOUT_S
         ]
 
     def is_gone(self, owner_id: str, since_s: float, *, unanswered: bool = False) -> bool:
@@ -188,10 +188,10 @@
         if owner_id in self._replaced_owners:
             return True
         received = self._received.get(host)
-        if received is not None and received.beat.incarnation != incarnation:
+        if received is not None and received.heartbeat.incarnation != incarnation:
             # A newly started process whose first heartbeat has not arrived yet.
             received = None
-        if received is not None and received.beat.leaving:
+        if received is not None and received.heartbeat.leaving:
             return True
         now_s = self._clock.monotonic_s()
         if now_s - self._outage_ended_at_s < (_RECOVERY_GRACE_S if unanswered else _BUSY_TIMEOUT_S):
@@ -212,20 +212,20 @@
         """
         host, _, incarnation = owner_id.partition("#")
         received = self._received.get(host)
-        if received is None or received.beat.incarnation != incarnation:
+        if received is None or received.heartbeat.incarnation != incarnation:
             return None
         last_heard_s = max(received.at_s, since_s)
-        return received.beat if self._clock.monotonic_s() - last_heard_s > silence_s else None
+        return received.heartbeat if self._clock.monotonic_s() - last_heard_s > silence_s else None
 
     def claimants(self, gone: Collection[str]) -> Sequence[str]:
         """Return the hosts that may take over work: this one and the others not in *gone*."""
-        hosts = {beat.host for beat in self.others()} | {self._own.host}
+        hosts = {heartbeat.host for heartbeat in self.others()} | {self._own.host}
         return sorted(hosts - set(gone))
 
     async def run(self) -> None:
         """Write heartbeats until cancelled."""
         while True:
-            await self.beat()
+            await self.write()
             period_s = _BUSY_PERIOD_S if self._busy() else _IDLE_PERIOD_S
             ends_at_s = self._clock.monotonic_s() + period_s * self._rng.uniform(0.8, 1.0)
             while (remaining_s := ends_at_s - self._clock.monotonic_s()) > _MIN_SLEEP_S:
@@ -233,7 +233,7 @@
                 if period_s == _IDLE_PERIOD_S and self._busy():
                     break
 
-    async def beat(self, *, leaving: bool = False) -> None:
+    async def write(self, *, leaving: bool = False) -> None:
         """Write one heartbeat; a failure is logged and left to the next heartbeat."""
         self._own = msgspec.structs.replace(
             self._own, number=self._own.number + 1, leaving=self._own.leaving or leaving
--- a/tests/state/test_beats.py
+++ b/tests/state/test_beats.py
@@ -81,7 +81,7 @@
             await fleet.start(hosts=2)
             first, second = fleet.members.values()
             owner = first.node.runner.owner
-            await first.node.heartbeats.beat(leaving=True)
+            await first.node.heartbeats.write(leaving=True)
             took_s = await fleet.until(
                 lambda: second.node.heartbeats.is_gone(owner, fleet.clock.monotonic_s())
             )
