--- a/src/verbenawind/weights/shard_controller.py
+++ b/src/verbenawind/weights/shard_controller.py
@@ -33,7 +33,7 @@
         budget: Limits the rate of staging.
         clock: Time source.
         rng: Source of the back-off jitter.
-        settle_s: Seconds during which orders of an earlier lease holder may still be running.
+        quiet_period_s: Seconds during which orders of an earlier lease holder may still be running.
             Engines that do not check fencing numbers get no order in this time.
     """
 
