--- a/src/verbenawind/batches/item_run.py
+++ b/src/verbenawind/batches/item_run.py
@@ -221,7 +221,7 @@
         max_silence_s = limits.stall_s
         pace.add_events(clock.monotonic_s(), len(events))
         if pace.median_s is not None:
-            paces.learn(backend.instance.instance_id, pace.median_s)
+            paces.observe(backend.instance.instance_id, pace.median_s)
         for event in events:
             version = version if event.version is None else event.version
             if version is None:
--- a/src/verbenawind/batches/paces.py
+++ b/src/verbenawind/batches/paces.py
@@ -69,7 +69,7 @@
         self._clock = clock
         self._paces: dict[str, _Pace] = {}
 
-    def learn(self, instance_id: str, gap_s: float) -> None:
+    def observe(self, instance_id: str, gap_s: float) -> None:
         """Add the median time between events of one run as a sample."""
         pace = self._paces.setdefault(instance_id, _Pace())
         pace.events += 1
--- a/tests/batches/test_engine_selection.py
+++ b/tests/batches/test_engine_selection.py
@@ -67,7 +67,7 @@
             self.clock,
         )
         for name, pace_s in paces_s.items():
-            self.selector.paces.learn(name, pace_s)
+            self.selector.paces.observe(name, pace_s)
         submission = job(groups=2)
         ranks = rank_items(submission, ())
         self.works = [ItemWork(i, ranks[i.item_id], PartialText()) for i in submission.items]
--- a/tests/batches/test_paces.py
+++ b/tests/batches/test_paces.py
@@ -51,7 +51,7 @@
     def test_run_moves_to_an_engine_that_is_much_faster(self) -> None:
         """A run leaves a slow engine, but does not move for a small difference."""
         paces = EnginePaces(ManualClock())
-        paces.learn("fast", 0.04)
+        paces.observe("fast", 0.04)
         assert paces.faster(run_of([0.15] * 5), ["fast"], 6)
         assert not paces.faster(run_of([0.06] * 5), ["fast"], 6)
         assert not paces.faster(run_of([0.15] * 5), [], 6)
@@ -59,7 +59,7 @@
     def test_long_run_moves_for_a_smaller_gain(self) -> None:
         """A run with many events is likely to produce many more, so a gain of a third suffices."""
         paces = EnginePaces(ManualClock())
-        paces.learn("fast", 0.045)
+        paces.observe("fast", 0.045)
         assert paces.faster(run_of([0.06] * 5), ["fast"], 30)
         assert not paces.faster(run_of([0.05] * 5), ["fast"], 30)
 
@@ -67,13 +67,13 @@
         """A slow engine gets two runs once its sample is stale, and all slots if they are fast."""
         clock = ManualClock()
         paces = EnginePaces(clock)
-        paces.learn("fast", 0.04)
-        paces.learn("slow", 0.15)
+        paces.observe("fast", 0.04)
+        paces.observe("slow", 0.15)
         assert paces.pace_s("slow") == pytest.approx(0.15)
         clock.now_s = 3.0
-        paces.learn("fast", 0.04)
+        paces.observe("fast", 0.04)
         assert paces.pace_s("slow") == 0.0
         assert paces.room("slow", 16, ["fast", "slow"]) == 2
         for _ in range(12):
-            paces.learn("slow", 0.04)
+            paces.observe("slow", 0.04)
         assert paces.room("slow", 16, ["fast", "slow"]) == 16
