--- a/src/verbenawind/state/configuration.py
+++ b/src/verbenawind/state/configuration.py
@@ -63,7 +63,7 @@
         self._current: dict[tuple[str, str], EnvironmentRevision] = {}
         self._informed = False
         self._listeners: list[Callable[[EnvironmentRevision], None]] = []
-        self._spreader = RevisionSpreader(peers, clock, self.learn, self.environments)
+        self._spreader = RevisionSpreader(peers, clock, self.apply_revision, self.environments)
         self._log = structlog.get_logger("configuration")
 
     @property
@@ -87,7 +87,7 @@
         """Return the revisions in force on this daemon, with the time each took effect."""
         return self._spreader.held()
 
-    def learn(self, revision: EnvironmentRevision, source: str = "table") -> bool:
+    def apply_revision(self, revision: EnvironmentRevision, source: str = "table") -> bool:
         """Put a revision into force unless it or a newer one is known; return whether it is new."""
         key = (revision.environment, str(revision.stage))
         self._informed = True
@@ -117,7 +117,7 @@
         while True:
             rows = await self._table.scan(prefix, after=after, limit=_SCAN_LIMIT)
             for row in rows:
-                self.learn(_decode_revision(row))
+                self.apply_revision(_decode_revision(row))
             if len(rows) < _SCAN_LIMIT:
                 break
             after = rows[-1].key
@@ -157,7 +157,7 @@
         digest = document_digest(document)
         if expect_revision is not None and expect_revision != number:
             if current and expect_revision == number - 1 and current.digest == digest:
-                self.learn(current)
+                self.apply_revision(current)
                 return current
             raise self._conflict(document, stage, current)
         revision = EnvironmentRevision(
@@ -173,7 +173,7 @@
             await self._commit(revision, head)
         except ConditionFailed as error:
             raise await self._conflict_after_race(document, stage, number + 1) from error
-        self.learn(revision, "the operator")
+        self.apply_revision(revision, "the operator")
         return revision
 
     async def history(self, environment: str, stage: Stage) -> Sequence[EnvironmentRevision]:
@@ -241,7 +241,7 @@
         self, document: EnvironmentDocument, stage: Stage, current: EnvironmentRevision | None
     ) -> RevisionConflict:
         if current is not None:
-            self.learn(current)
+            self.apply_revision(current)
         number = current.revision if current else 0
         author = f" by {current.author!r}" if current and current.author else ""
         changes = diff_documents(current.document if current else None, document)
--- a/tests/fuzz/test_mutations.py
+++ b/tests/fuzz/test_mutations.py
@@ -250,25 +250,25 @@
 
 def accept_older_revisions(patch: Patch) -> None:
     """Activate the revision that arrives last, even an older one."""
-    original_learn = ConfigurationStore.learn
+    original_apply = ConfigurationStore.apply_revision
 
     def mutant(self: ConfigurationStore, revision: Any, *source: str) -> bool:
         self._current.pop((revision.environment, str(revision.stage)), None)
-        return original_learn(self, revision, *source)
+        return original_apply(self, revision, *source)
 
-    patch.setattr(ConfigurationStore, "learn", mutant)
+    patch.setattr(ConfigurationStore, "apply_revision", mutant)
 
 
 def ignore_revisions_of_other_operators(patch: Patch) -> None:
     """Ignore later revisions that were not submitted to this daemon by an operator."""
-    original_learn = ConfigurationStore.learn
+    original_apply = ConfigurationStore.apply_revision
 
     def mutant(self: ConfigurationStore, revision: Any, source: str = "table") -> bool:
         if source != "the operator" and revision.revision > 1:
             return False
-        return original_learn(self, revision, source)
+        return original_apply(self, revision, source)
 
-    patch.setattr(ConfigurationStore, "learn", mutant)
+    patch.setattr(ConfigurationStore, "apply_revision", mutant)
 
 
 def commit_revisions_unconditionally(patch: Patch) -> None:
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -149,7 +149,7 @@
             first = await cores[0].configuration.accept(document("a"), Stage.PRODUCTION)
             await cores[0].configuration.accept(document("b"), Stage.PRODUCTION)
             await asyncio.sleep(PROPAGATION_S)
-            assert not cores[3].configuration.learn(first)
+            assert not cores[3].configuration.apply_revision(first)
             assert [revision(core) for core in cores] == [2] * len(cores)
 
         run_world(work)
