--- a/src/verbenawind/batches/service.py
+++ b/src/verbenawind/batches/service.py
@@ -143,7 +143,7 @@
 
         Raises:
             UnknownResource: There is no such job.
-            StoreUnavailable: The store did not answer.
+            StoreUnavailable: The store did not respond.
         """
         ends_at_s = self._clock.monotonic_s() + wait_s
         total = await self._item_count(job_id)
@@ -159,7 +159,7 @@
 
         Raises:
             UnknownResource: There is no such job or item.
-            StoreUnavailable: The store did not answer.
+            StoreUnavailable: The store did not respond.
         """
         await self._item_count(job_id)
         submission = self._submissions.get(job_id)
@@ -176,7 +176,7 @@
 
         Raises:
             UnknownResource: There is no such job.
-            StoreUnavailable: The store did not answer; the job may have ended.
+            StoreUnavailable: The store did not respond; the job may have ended.
         """
         job = await self._job_store.end(job_id, _READ_TIMEOUT_S)
         if job is None:
--- a/src/verbenawind/membership/fleet_watcher.py
+++ b/src/verbenawind/membership/fleet_watcher.py
@@ -197,11 +197,9 @@
             return
         probe_state.suspicion_published_at_s = now_s
         self._log.info("server_suspected", server=server.server_id, reason=reason)
-        known_status = self._peers.store.get(_SUSPECT_KIND, server.server_id)
+        known_item = self._peers.store.get(_SUSPECT_KIND, server.server_id)
         number = (
-            known_status.rank[1] + 1
-            if known_status and known_status.rank[0] == server.incarnation
-            else 0
+            known_item.rank[1] + 1 if known_item and known_item.rank[0] == server.incarnation else 0
         )
         self._peers.spread(
             SpreadItem(
@@ -266,20 +264,20 @@
         """Apply a status that arrived before its server became known."""
         view = self._fleet.view(item.key)
         if view is None:
-            self._forget(item.key)
+            self._drop_status(item.key)
             return
         status = self._known_status(item.key)
         if view.status is None and status is not None:
             self._fleet.apply_peer_status(status)
 
-    def _forget(self, server_id: str) -> None:
+    def _drop_status(self, server_id: str) -> None:
         """Drop the status of a server that is gone, but keep its rank in case it returns."""
         for kind in (_ENGINE_KIND, _REMOTE_ENGINE_KIND):
             self._peers.store.drop(kind, server_id)
         self._merged_at_s.pop(server_id, None)
         if len(self._ranks) > _MAX_RANKS_KEPT:
-            known_status = {view.server.server_id for view in self._engines()}
-            self._ranks = {key: rank for key, rank in self._ranks.items() if key in known_status}
+            known_ids = {view.server.server_id for view in self._engines()}
+            self._ranks = {key: rank for key, rank in self._ranks.items() if key in known_ids}
 
     def _on_suspect(self, item: SpreadItem) -> None:
         view = self._fleet.view(item.key)
--- a/src/verbenawind/membership/handshake.py
+++ b/src/verbenawind/membership/handshake.py
@@ -23,7 +23,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon tells about itself when a link opens."""
+    """The identity that a daemon sends when a link opens."""
 
     peer_id: str
     address: str
