--- a/src/verbenawind/api/holders.py
+++ b/src/verbenawind/api/holders.py
@@ -22,7 +22,7 @@
     """The revisions held by each daemon.
 
     Args:
-        held: The revisions by daemon ID.
+        held: The revisions by daemon id.
         unreachable: The daemons that did not respond.
     """
 
@@ -35,7 +35,7 @@
         self.unreachable = unreachable
 
     def for_revision(self, revision: EnvironmentRevision) -> list[dict[str, Any]]:
-        """Return the daemons with their revision of the environment and stage, sorted by ID."""
+        """Return the daemons with their revision of the environment and stage, sorted by id."""
         return [
             {"daemon_id": daemon_id, "revision": held.revision, "since": held.since}
             for daemon_id, revisions in sorted(self._held.items())
--- a/src/verbenawind/gateway/directory.py
+++ b/src/verbenawind/gateway/directory.py
@@ -75,7 +75,7 @@
 
     @property
     def last_contact_age_s(self) -> float:
-        """Seconds since the server last answered or failed, or was registered."""
+        """Seconds since the server last responded or failed, or was registered."""
         return self._clock.monotonic_s() - self._last_contact_s
 
     @property
@@ -98,7 +98,7 @@
         self.outstanding -= 1
 
     def succeeded(self, latency_s: float) -> None:
-        """Record a successful answer and its response time."""
+        """Record a successful response and its duration."""
         self._failures = 0
         self._suspected_until_s = 0.0
         self._last_contact_s = self._clock.monotonic_s()
@@ -109,7 +109,7 @@
         self._measured_at_s = self._clock.monotonic_s()
 
     def record_unanswered(self, elapsed_s: float) -> None:
-        """Record that a request was abandoned without an answer after *elapsed_s* seconds."""
+        """Record that a request was abandoned without a response after *elapsed_s* seconds."""
         if elapsed_s > self.latency_s:
             self._latency_s = elapsed_s
             self._measured_at_s = self._clock.monotonic_s()
--- a/src/verbenawind/gateway/forwarding.py
+++ b/src/verbenawind/gateway/forwarding.py
@@ -23,7 +23,7 @@
 
 __all__ = ["Forwarder", "Reply"]
 
-# Replies up to this size are buffered completely, so that a truncated one can be retried.
+# Responses up to this size are buffered completely, so that a truncated one can be retried.
 _MAX_BUFFERED_BYTES = 1024 * 1024
 # Fraction of the target latency after which another send of an idempotent request is considered.
 _HEDGE_FRACTION = 0.45
@@ -125,10 +125,10 @@
         self._log = structlog.get_logger("gateway")
 
     async def forward(self, request: CallerRequest, route: Route, service: str) -> Reply:
-        """Return the first complete reply of a server.
+        """Return the first complete response of a server.
 
         Raises:
-            VerbenawindError: No server replied. The outcome tells whether the request may have run.
+            VerbenawindError: No server responded; the outcome tells whether one may have run it.
         """
         exchange = _Exchange(request, route, service)
         self._hedge_tokens = min(
@@ -163,7 +163,7 @@
         """Wait until a send ends, a hedge check is due or the deadline passes.
 
         Returns:
-            The reply to forward, or None if there is none yet.
+            The response to forward, or None if there is none yet.
         """
         now_s = self._clock.monotonic_s()
         until_s = min(exchange.request.deadline_s, max(hedge_check_at_s, now_s))
@@ -280,7 +280,7 @@
         )
 
     def _finish_unanswered(self, exchange: _Exchange) -> Reply:
-        """Return a server's own error reply, or raise an error if there is none."""
+        """Return a server's own error response, or raise an error if there is none."""
         if exchange.error_reply is not None:
             return exchange.error_reply
         request = exchange.request
--- a/src/verbenawind/kernel/backend_ports.py
+++ b/src/verbenawind/kernel/backend_ports.py
@@ -30,7 +30,7 @@
         """Stream the tokens that follow the attempt's held tokens, then one GenerationEnded.
 
         Closing the generator cancels the generation. Raises AdmissionRefused if the engine refuses
-        to start it, and StreamTruncated if the stream ends without its end mark.
+        to start it, and StreamTruncated if the stream ends without its end marker.
         """
 
     async def cancel(self, attempt_id: str) -> None:
--- a/src/verbenawind/kernel/messages.py
+++ b/src/verbenawind/kernel/messages.py
@@ -210,7 +210,7 @@
 
 
 class GenerationEnded(Value, frozen=True, kw_only=True):
-    """The end mark of a generation; ``token_count`` includes the held tokens."""
+    """The end marker of a generation; ``token_count`` includes the held tokens."""
 
     attempt_id: str
     token_count: int
--- a/src/verbenawind/kernel/ports.py
+++ b/src/verbenawind/kernel/ports.py
@@ -114,7 +114,7 @@
         """Return all revisions in force."""
 
     def subscribe(self, listener: Callable[[EnvironmentRevision], None]) -> None:
-        """Call *listener* with each revision that comes into force."""
+        """Call *listener* with each revision that takes effect."""
 
 
 class Lease(Protocol):
--- a/src/verbenawind/kernel/row_ports.py
+++ b/src/verbenawind/kernel/row_ports.py
@@ -103,7 +103,7 @@
 
         Raises:
             RowConflict: A check failed; nothing was written, and no delayed write can follow.
-            StoreUnavailable: No response; ``effect_possible`` says whether the transaction may
+            StoreUnavailable: No response; ``effect_possible`` tells whether the transaction may
                 still take effect.
         """
 
--- a/src/verbenawind/membership/calls.py
+++ b/src/verbenawind/membership/calls.py
@@ -87,7 +87,7 @@
             del self._links[link.peer.peer_id]
 
     async def close_idle(self) -> None:
-        """Close links that no call has used within the idle time-out."""
+        """Close links that no call has used within the idle timeout."""
         now_s = self._clock.monotonic_s()
         for peer_id, link in list(self._links.items()):
             if now_s - self._last_used_at_s.get(peer_id, 0.0) >= _IDLE_TIMEOUT_S:
--- a/src/verbenawind/membership/roster.py
+++ b/src/verbenawind/membership/roster.py
@@ -185,7 +185,7 @@
             self._publish_own(MemberStatus.ALIVE)
 
     def restart_suspicions(self) -> None:
-        """Restart all suspicion time-outs: this daemon was paused and received no refutations."""
+        """Restart all suspicion timeouts: this daemon was paused and received no refutations."""
         now_s = self._clock.monotonic_s()
         for peer_id, member in self._members.items():
             if member.status is MemberStatus.SUSPECT:
--- a/src/verbenawind/platform/store.py
+++ b/src/verbenawind/platform/store.py
@@ -284,7 +284,7 @@
             writes: Whether the call writes, so that a failed one may still have taken effect.
 
         Returns:
-            The reply, and whether an earlier attempt may have taken effect.
+            The response, and whether an earlier attempt may have taken effect.
         """
         deadline_s = self._clock.monotonic_s() + timeout_s
         may_have_applied = False
--- a/src/verbenawind/plugins/engine_http.py
+++ b/src/verbenawind/plugins/engine_http.py
@@ -181,7 +181,7 @@
             raise
         for event in reader.take():
             yield event
-        raise StreamTruncated(f"{operation}: stream ended without its end mark")
+        raise StreamTruncated(f"{operation}: stream ended without its end marker")
 
     @staticmethod
     def _min_event_interval_s() -> float:
@@ -231,7 +231,7 @@
         """Parse *data* and process the lines that it completes.
 
         Raises:
-            StreamTruncated: The end mark arrived before a finish reason with a token count.
+            StreamTruncated: The end marker arrived before a finish reason with a token count.
         """
         lines = (self._partial_line + data).split(b"\n")
         self._partial_line = lines.pop()
--- a/src/verbenawind/rollout/unit_dispatcher.py
+++ b/src/verbenawind/rollout/unit_dispatcher.py
@@ -127,7 +127,7 @@
         """Run a job on a peer, as long as the peer is considered alive.
 
         Raises:
-            PeerUnreachable: The peer left, became silent or did not reply.
+            PeerUnreachable: The peer left, became silent or did not respond.
         """
         body, timeout_s = msgspec.msgpack.encode(job), job.timeout_s + _CALL_MARGIN_S
         loop = asyncio.get_running_loop()
--- a/src/verbenawind/routing/attempts.py
+++ b/src/verbenawind/routing/attempts.py
@@ -80,7 +80,7 @@
                 ) from error
             if event is None:
                 raise StreamTruncated(
-                    f"stream of attempt {attempt.attempt_id} ended without an end mark"
+                    f"stream of attempt {attempt.attempt_id} ended without an end marker"
                 )
             check_event(attempt, event, len(generation.token_ids), request.kind)
             ended = isinstance(event, GenerationEnded)
@@ -156,7 +156,7 @@
         return FailureCause.CONNECTION_LOST
 
     async def _probe_incarnation(self, view: ServerView) -> int | None:
-        """Return the incarnation that the engine reports, None if it does not answer."""
+        """Return the incarnation that the engine reports, None if it does not respond."""
         try:
             async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 status = await self._clients.engine(view.server).status()
@@ -170,7 +170,7 @@
     def _other_engine_in_zone(self, view: ServerView) -> ServerView | None:
         """Return another engine in the same zone.
 
-        If the zone is partitioned from this daemon, that engine does not answer either.
+        If the zone is partitioned from this daemon, that engine does not respond either.
         """
         for other in self._fleet.group(BackendKind.ENGINE, view.server.group):
             same_zone = other.server.location.zone == view.server.location.zone
--- a/src/verbenawind/routing/claims.py
+++ b/src/verbenawind/routing/claims.py
@@ -128,7 +128,7 @@
         """Claim a key whose holder reports that it never dispatched the request.
 
         Raises:
-            StoreUnavailable: The table did not answer.
+            StoreUnavailable: The table did not respond.
         """
         record = self._new_record(request)
         write = Write(
--- a/src/verbenawind/routing/dispatcher.py
+++ b/src/verbenawind/routing/dispatcher.py
@@ -104,7 +104,7 @@
         return 0 if self._admission.draining else self._pool(pool).free_slots()
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Stream the complete answer, resuming on another engine if one fails."""
+        """Stream the complete response, resuming on another engine if one fails."""
         try:
             spec = self._admission.admit(request.environment, request.caller, request.kind)
             try:
--- a/src/verbenawind/routing/limits.py
+++ b/src/verbenawind/routing/limits.py
@@ -73,7 +73,7 @@
     def observe_ttft(self, ttft_s: float, now_s: float, *, limit_reached: bool) -> None:
         """Apply a measured time from dispatch to the first token, in seconds.
 
-        ``limit_reached`` says whether this daemon had as many requests in flight as the limit.
+        ``limit_reached`` tells whether this daemon had as many requests in flight as the limit.
         """
         self._advance_window(now_s)
         self._min_ttft_s = min(self._min_ttft_s, ttft_s)
--- a/src/verbenawind/routing/server_choice.py
+++ b/src/verbenawind/routing/server_choice.py
@@ -28,7 +28,7 @@
 
     ``server_id`` is None if no server can accept the request now. ``usable`` is False if no
     server could accept it even when idle. ``considered`` is the number of servers examined.
-    ``is_first_preference`` says whether the server is the most preferred one of the prefix.
+    ``is_first_preference`` tells whether the server is the most preferred one of the prefix.
     """
 
     server_id: str | None
--- a/src/verbenawind/state/relay.py
+++ b/src/verbenawind/state/relay.py
@@ -199,7 +199,8 @@
         except (PeerUnreachable, TimeoutError) as error:
             self._mark_failed(address)
             raise StoreUnavailable(
-                f"peer {address} did not answer the relayed call: {error!r}", effect_possible=sent
+                f"peer {address} did not respond to the relayed call: {error!r}",
+                effect_possible=sent,
             ) from error
         if response.reply is None:
             self._mark_failed(address)
