--- a/src/verbenawind/errors.py
+++ b/src/verbenawind/errors.py
@@ -311,7 +311,7 @@
 
 
 class FencingRefused(VerbenawindError):
-    """Raised when a backend server rejected an order with an outdated fencing token."""
+    """Raised when a backend server rejected an order with an outdated fencing number."""
 
     code = "fencing_refused"
 
--- a/src/verbenawind/log_events.py
+++ b/src/verbenawind/log_events.py
@@ -86,7 +86,7 @@
     ] = 0
     expected_s: Annotated[_Seconds, Meta(description="Expected time to a response.")] = 0.0
     failures: Annotated[int, Meta(description="Number of runs that failed.")] = 0
-    fencing_number: Annotated[int, Meta(description="Fencing token of the lease holder.")] = 0
+    fencing_number: Annotated[int, Meta(description="Fencing number of the lease holder.")] = 0
     fingerprint: Annotated[str, Meta(description="Digest shared by similar requests.")] = ""
     former: Annotated[str, Meta(description="Previous holder of the lease.")] = ""
     former_owner: Annotated[
--- a/src/verbenawind/platform/settings.py
+++ b/src/verbenawind/platform/settings.py
@@ -42,7 +42,7 @@
     drain_ms: float = 2500
     # How long after its submission a batch job can be read.
     status_s: float = 120
-    # Whether engines check the fencing token of an order.
+    # Whether engines check the fencing number of an order.
     fencing_required: bool = False
 
 
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -78,7 +78,7 @@
 
     @property
     def signed(self) -> bool:
-        """Whether the response carries the server's stamp; always true."""
+        """Whether the response carries the server's signature header; always true."""
         return True
 
     @property
