--- a/src/verbenawind/batches/owner_monitor.py
+++ b/src/verbenawind/batches/owner_monitor.py
@@ -102,14 +102,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _probe_owner(self, heartbeat: HostHeartbeat) -> None:
-        answer = await self._probe.connect(heartbeat.address)
+        result = await self._probe.connect(heartbeat.address)
         now_s = self._clock.monotonic_s()
         self._unanswered = {
             owner_id: probed_at_s
             for owner_id, probed_at_s in self._unanswered.items()
             if owner_id != heartbeat.owner_id and now_s - probed_at_s < _UNANSWERED_TTL_S
         }
-        if answer is ProbeResult.NONE:
+        if result is ProbeResult.NONE:
             self._unanswered[heartbeat.owner_id] = now_s
             self._log.info(
                 "owner_unanswered",
@@ -117,7 +117,7 @@
                 address=heartbeat.address,
                 view_age_s=round(self._heartbeats.view_age_s(), 2),
             )
-        if answer is not ProbeResult.REFUSED:
+        if result is not ProbeResult.REFUSED:
             return
         self._refused[heartbeat.owner_id] = None
         while len(self._refused) > _MAX_REFUSED:
