--- a/src/verbenawind/batches/item_run.py
+++ b/src/verbenawind/batches/item_run.py
@@ -9,7 +9,7 @@
 from verbenawind.batches.types import BatchItem
 from verbenawind.clock import Clock
 from verbenawind.errors import BackendServerFailed, BackendServerUnreachable
-from verbenawind.gateway import Answer, Attempt, Backend, BackendPort, CallerRequest
+from verbenawind.gateway import Attempt, Backend, BackendPort, BackendResponse, CallerRequest
 from verbenawind.kernel.messages import Value
 
 __all__ = ["PartialText", "RunEnd", "RunLimits", "RunOutcome", "RunnerCounts", "run_item"]
@@ -155,15 +155,15 @@
         resume_after=partial.last_event,
         expect_version=limits.expect_version,
     )
-    answer: Answer | None = None
+    response: BackendResponse | None = None
     try:
         async with asyncio.timeout(limits.first_event_s):
-            answer = await port.send(backend.instance, attempt)
-        outcome = await _check_response(answer, limits)
+            response = await port.send(backend.instance, attempt)
+        outcome = await _check_response(response, limits)
         if outcome is not None:
             return outcome
         on_accepted()
-        return await _read_events(answer, partial, backend, limits, clock, paces, should_move)
+        return await _read_events(response, partial, backend, limits, clock, paces, should_move)
     except TimeoutError:
         return RunOutcome(end=RunEnd.STALLED, detail=f"no response within {limits.first_event_s} s")
     except BackendServerUnreachable as error:
@@ -171,33 +171,33 @@
     except BackendServerFailed as error:
         return RunOutcome(end=RunEnd.BROKEN, detail=error.message)
     finally:
-        if answer is not None:
-            answer.close()
+        if response is not None:
+            response.close()
 
 
-async def _check_response(answer: Answer, limits: RunLimits) -> RunOutcome | None:
+async def _check_response(response: BackendResponse, limits: RunLimits) -> RunOutcome | None:
     """Return the outcome of a response other than an event stream, None for a stream."""
-    detail = f"status {answer.status}"
-    if answer.refused:
+    detail = f"status {response.status}"
+    if response.refused:
         # Read the body to the end so that the connection can be reused.
-        while await answer.chunk():
+        while await response.chunk():
             pass
-        is_misdirected = answer.status == _MISDIRECTED
+        is_misdirected = response.status == _MISDIRECTED
         other_version = is_misdirected and limits.expect_version is not None
         return RunOutcome(end=RunEnd.REFUSED, detail=detail, other_version=other_version)
-    if not answer.signed:
+    if not response.signed:
         return RunOutcome(end=RunEnd.BROKEN, detail=f"{detail}, response not signed by the server")
-    if answer.status == _UNPROCESSABLE:
+    if response.status == _UNPROCESSABLE:
         return RunOutcome(end=RunEnd.IMPOSSIBLE, detail=detail)
-    if answer.status >= _SERVER_ERROR:
+    if response.status >= _SERVER_ERROR:
         return RunOutcome(end=RunEnd.FAILED, detail=detail)
-    if answer.status != _OK:
+    if response.status != _OK:
         return RunOutcome(end=RunEnd.BROKEN, detail=detail)
     return None
 
 
 async def _read_events(
-    answer: Answer,
+    response: BackendResponse,
     partial: PartialText,
     backend: Backend,
     limits: RunLimits,
@@ -205,13 +205,13 @@
     paces: EnginePaces,
     should_move: Callable[[RunPace], bool],
 ) -> RunOutcome:
-    version = answer.version
+    version = response.version
     max_silence_s = limits.first_event_s
     pace = RunPace()
     while True:
         try:
             async with asyncio.timeout(max_silence_s):
-                events = await answer.events()
+                events = await response.events()
         except TimeoutError:
             return RunOutcome(end=RunEnd.STALLED, detail=f"no event within {max_silence_s:.2f} s")
         if events is None:
--- a/src/verbenawind/gateway/__init__.py
+++ b/src/verbenawind/gateway/__init__.py
@@ -2,7 +2,7 @@
 
 from verbenawind.gateway.directory import Backend, Directory, ServerState
 from verbenawind.gateway.forwarding import Forwarder, Reply
-from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest
+from verbenawind.gateway.ports import Attempt, BackendPort, BackendResponse, CallerRequest
 from verbenawind.gateway.routes import RouteTable, service_of
 from verbenawind.gateway.streaming import StreamForwarder
 from verbenawind.gateway.types import (
@@ -17,10 +17,10 @@
 )
 
 __all__ = [
-    "Answer",
     "Attempt",
     "Backend",
     "BackendPort",
+    "BackendResponse",
     "CallerRequest",
     "Directory",
     "EngineTraits",
--- a/src/verbenawind/gateway/forwarding.py
+++ b/src/verbenawind/gateway/forwarding.py
@@ -14,10 +14,10 @@
     Outcome,
     VerbenawindError,
 )
-from verbenawind.gateway.answers import check_answer
 from verbenawind.gateway.balance import choose, no_server_error
 from verbenawind.gateway.directory import Backend, Directory
-from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest, Header
+from verbenawind.gateway.ports import Attempt, BackendPort, BackendResponse, CallerRequest, Header
+from verbenawind.gateway.response_check import check_response
 from verbenawind.gateway.types import Route, RouteKind
 from verbenawind.kernel.messages import Location
 
@@ -50,7 +50,7 @@
     __slots__ = ("body", "headers", "rest", "status")
 
     def __init__(
-        self, status: int, headers: Sequence[Header], body: bytes, rest: Answer | None
+        self, status: int, headers: Sequence[Header], body: bytes, rest: BackendResponse | None
     ) -> None:
         self.status = status
         self.headers = headers
@@ -246,12 +246,12 @@
             resume_after=exchange.request.resume_after,
             fresh_connection=not exchange.repeatable,
         )
-        answer: Answer | None = None
+        response: BackendResponse | None = None
         try:
-            answer = await self._port.send(backend.instance, attempt)
-            check_answer(answer, backend.instance.instance_id)
-            reply = await _read_buffered(answer)
-            answer = reply.rest
+            response = await self._port.send(backend.instance, attempt)
+            check_response(response, backend.instance.instance_id)
+            reply = await _read_buffered(response)
+            response = reply.rest
         except (AdmissionRefused, BackendServerUnreachable) as error:
             exchange.possible_runs -= 1
             backend.failed()
@@ -262,8 +262,8 @@
             self._log_failure(exchange, backend, error)
             raise
         except asyncio.CancelledError:
-            if answer is not None:
-                answer.close()
+            if response is not None:
+                response.close()
             if exchange.answered:
                 backend.record_unanswered(self._clock.monotonic_s() - started_s)
             raise
@@ -297,17 +297,17 @@
                 f"{exchange.sends} servers of service {exchange.service} refused the request",
                 retry_after_s=_REFUSED_RETRY_AFTER_S,
             )
-        reason = exchange.last_error.message if exchange.last_error else "no answer"
+        reason = exchange.last_error.message if exchange.last_error else "no response"
         raise BackendServerFailed(f"request {request.request_id} failed: {reason}")
 
 
-async def _read_buffered(answer: Answer) -> Reply:
+async def _read_buffered(response: BackendResponse) -> Reply:
     """Read the body, up to the buffer limit."""
     parts: list[bytes] = []
     size_bytes = 0
-    while data := await answer.chunk():
+    while data := await response.chunk():
         parts.append(data)
         size_bytes += len(data)
         if size_bytes > _MAX_BUFFERED_BYTES:
-            return Reply(answer.status, answer.headers, b"".join(parts), answer)
-    return Reply(answer.status, answer.headers, b"".join(parts), None)
+            return Reply(response.status, response.headers, b"".join(parts), response)
+    return Reply(response.status, response.headers, b"".join(parts), None)
--- a/src/verbenawind/gateway/ports.py
+++ b/src/verbenawind/gateway/ports.py
@@ -7,7 +7,7 @@
 from verbenawind.gateway.types import Instance
 from verbenawind.kernel.messages import Value
 
-__all__ = ["Answer", "Attempt", "BackendPort", "CallerRequest"]
+__all__ = ["Attempt", "BackendPort", "BackendResponse", "CallerRequest"]
 
 Header = tuple[str, str]
 
@@ -43,7 +43,7 @@
     fresh_connection: bool = False
 
 
-class Answer(Protocol):
+class BackendResponse(Protocol):
     """A backend server's response, whose body may still be arriving."""
 
     status: int
@@ -74,7 +74,7 @@
 class BackendPort(Protocol):
     """Sends requests to backend servers."""
 
-    async def send(self, instance: Instance, attempt: Attempt) -> Answer:
+    async def send(self, instance: Instance, attempt: Attempt) -> BackendResponse:
         """Send an attempt and return the response once its head has arrived.
 
         Raises:
--- a/src/verbenawind/gateway/streaming.py
+++ b/src/verbenawind/gateway/streaming.py
@@ -14,10 +14,10 @@
     Outcome,
     VerbenawindError,
 )
-from verbenawind.gateway.answers import check_answer
 from verbenawind.gateway.balance import choose, no_server_error
 from verbenawind.gateway.directory import Backend, Directory
-from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest
+from verbenawind.gateway.ports import Attempt, BackendPort, BackendResponse, CallerRequest
+from verbenawind.gateway.response_check import check_response
 from verbenawind.gateway.types import Route
 from verbenawind.kernel.messages import Location
 
@@ -51,18 +51,18 @@
 
     async def forward(
         self, request: CallerRequest, route: Route, service: str
-    ) -> AsyncGenerator[Answer | bytes, None]:
+    ) -> AsyncGenerator[BackendResponse | bytes, None]:
         """Yield the first server's response head, then the bytes of each complete event.
 
         Raises:
             VerbenawindError: The stream did not start, or broke and cannot be resumed.
         """
         tried: set[str] = set()
-        first_answer: Answer | None = None
+        first_response: BackendResponse | None = None
         last_id = request.resume_after
         sends = 0
         error: VerbenawindError | None = None
-        while sends < route.max_attempts and (first_answer is None or route.resumable):
+        while sends < route.max_attempts and (first_response is None or route.resumable):
             chosen = choose(self._directory.backends(service), self._location, tried)
             if chosen is None:
                 break
@@ -82,17 +82,17 @@
             )
             sends += 1
             backend.begin()
-            answer: Answer | None = None
+            response: BackendResponse | None = None
             try:
-                answer = await self._open(backend, request, remaining_s, last_id)
-                if first_answer is None:
-                    first_answer = answer
-                    yield answer
-                    if answer.status != _OK:
-                        while data := await answer.chunk():
+                response = await self._open(backend, request, remaining_s, last_id)
+                if first_response is None:
+                    first_response = response
+                    yield response
+                    if response.status != _OK:
+                        while data := await response.chunk():
                             yield data
                         return
-                async for event_id, raw in self._events(answer, route):
+                async for event_id, raw in self._events(response, route):
                     if last_id is not None and event_id != last_id + 1:
                         raise BackendServerFailed(
                             f"event {event_id} followed {last_id} in stream {request.request_id}"
@@ -102,7 +102,7 @@
                 backend.succeeded(0.0)
                 return
             except (AdmissionRefused, BackendServerUnreachable) as refusal:
-                sends -= 1 if first_answer is None else 0
+                sends -= 1 if first_response is None else 0
                 error = refusal
                 backend.failed()
             except BackendServerFailed as failure:
@@ -119,30 +119,30 @@
                     break
             finally:
                 backend.end()
-                if answer is not None:
-                    answer.close()
+                if response is not None:
+                    response.close()
         raise self._final_error(request, service, error, sends)
 
     async def _open(
         self, backend: Backend, request: CallerRequest, remaining_s: float, last_id: int | None
-    ) -> Answer:
+    ) -> BackendResponse:
         attempt = Attempt(
             request=request,
             remaining_s=remaining_s,
             resume_after=last_id,
             fresh_connection=True,
         )
-        answer = await self._port.send(backend.instance, attempt)
-        check_answer(answer, backend.instance.instance_id)
-        return answer
+        response = await self._port.send(backend.instance, attempt)
+        check_response(response, backend.instance.instance_id)
+        return response
 
     async def _events(
-        self, answer: Answer, route: Route
+        self, response: BackendResponse, route: Route
     ) -> AsyncGenerator[tuple[int, bytes], None]:
         while True:
             try:
                 async with asyncio.timeout(_STALL_TIMEOUT_S if route.resumable else None):
-                    events = await answer.events()
+                    events = await response.events()
             except TimeoutError as error:
                 raise BackendServerFailed(
                     f"the stream sent no event for {_STALL_TIMEOUT_S} s"
--- a/src/verbenawind/platform/backends.py
+++ b/src/verbenawind/platform/backends.py
@@ -51,7 +51,7 @@
 
 
 class HttpAnswer:
-    """A backend server's response; implements the Answer port."""
+    """A backend server's response; implements the BackendResponse port."""
 
     __slots__ = ("_reader", "_response", "headers", "status")
 
--- a/src/verbenawind/platform/caller_app.py
+++ b/src/verbenawind/platform/caller_app.py
@@ -23,7 +23,7 @@
     VerbenawindError,
 )
 from verbenawind.gateway import (
-    Answer,
+    BackendResponse,
     CallerRequest,
     Forwarder,
     IngressLimits,
@@ -340,8 +340,8 @@
 _MAX_REQUEST_S = 3600.0
 
 
-async def _forward_head(exchange: Exchange, answer: Answer) -> None:
-    await exchange.start(answer.status, end_to_end_headers(answer.headers))
+async def _forward_head(exchange: Exchange, response: BackendResponse) -> None:
+    await exchange.start(response.status, end_to_end_headers(response.headers))
 
 
 def _http_status(error: VerbenawindError) -> int:
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -55,7 +55,7 @@
 
 
 class _Answer:
-    """A response of an engine; implements the Answer port."""
+    """A response of an engine; implements the BackendResponse port."""
 
     def __init__(
         self, engine: OpaqueEngine, attempt: Attempt, status: int, *, refused: bool = False
