--- a/src/verbenawind/gateway/forwarding.py
+++ b/src/verbenawind/gateway/forwarding.py
@@ -14,16 +14,16 @@
     Outcome,
     VerbenawindError,
 )
-from verbenawind.gateway.answers import check_answer
 from verbenawind.gateway.balance import choose, no_server_error
 from verbenawind.gateway.directory import Backend, Directory
-from verbenawind.gateway.ports import Answer, Attempt, BackendPort, CallerRequest, Header
+from verbenawind.gateway.ports import Attempt, BackendPort, BackendResponse, CallerRequest, Header
+from verbenawind.gateway.response_check import check_response
 from verbenawind.gateway.types import Route, RouteKind
 from verbenawind.kernel.messages import Location
 
 __all__ = ["Forwarder", "Reply"]
 
-# Replies up to this size are buffered completely, so that a truncated one can be retried.
+# Responses up to this size are buffered completely, so that a truncated one can be retried.
 _MAX_BUFFERED_BYTES = 1024 * 1024
 # Fraction of the target latency after which another send of an idempotent request is considered.
 _HEDGE_FRACTION = 0.45
@@ -50,7 +50,7 @@
     __slots__ = ("body", "headers", "rest", "status")
 
     def __init__(
-        self, status: int, headers: Sequence[Header], body: bytes, rest: Answer | None
+        self, status: int, headers: Sequence[Header], body: bytes, rest: BackendResponse | None
     ) -> None:
         self.status = status
         self.headers = headers
@@ -125,10 +125,10 @@
         self._log = structlog.get_logger("gateway")
 
     async def forward(self, request: CallerRequest, route: Route, service: str) -> Reply:
-        """Return the first complete reply of a server.
+        """Return the first complete response of a server.
 
         Raises:
-            VerbenawindError: No server replied. The outcome tells whether the request may have run.
+            VerbenawindError: No server responded; the outcome tells whether one may have run it.
         """
         exchange = _Exchange(request, route, service)
         self._hedge_tokens = min(
@@ -163,7 +163,7 @@
         """Wait until a send ends, a hedge check is due or the deadline passes.
 
         Returns:
-            The reply to forward, or None if there is none yet.
+            The response to forward, or None if there is none yet.
         """
         now_s = self._clock.monotonic_s()
         until_s = min(exchange.request.deadline_s, max(hedge_check_at_s, now_s))
@@ -246,12 +246,12 @@
             resume_after=exchange.request.resume_after,
             fresh_connection=not exchange.repeatable,
         )
-        answer: Answer | None = None
+        response: BackendResponse | None = None
         try:
-            answer = await self._port.send(backend.instance, attempt)
-            check_answer(answer, backend.instance.instance_id)
-            reply = await _read_buffered(answer)
-            answer = reply.rest
+            response = await self._port.send(backend.instance, attempt)
+            check_response(response, backend.instance.instance_id)
+            reply = await _read_buffered(response)
+            response = reply.rest
         except (AdmissionRefused, BackendServerUnreachable) as error:
             exchange.possible_runs -= 1
             backend.failed()
@@ -262,8 +262,8 @@
             self._log_failure(exchange, backend, error)
             raise
         except asyncio.CancelledError:
-            if answer is not None:
-                answer.close()
+            if response is not None:
+                response.close()
             if exchange.answered:
                 backend.record_unanswered(self._clock.monotonic_s() - started_s)
             raise
@@ -280,7 +280,7 @@
         )
 
     def _finish_unanswered(self, exchange: _Exchange) -> Reply:
-        """Return a server's own error reply, or raise an error if there is none."""
+        """Return a server's own error response, or raise an error if there is none."""
         if exchange.error_reply is not None:
             return exchange.error_reply
         request = exchange.request
@@ -297,17 +297,17 @@
                 f"{exchange.sends} servers of service {exchange.service} refused the request",
                 retry_after_s=_REFUSED_RETRY_AFTER_S,
             )
-        reason = exchange.last_error.message if exchange.last_error else "no answer"
+        reason = exchange.last_error.message if exchange.last_error else "no response"
         raise BackendServerFailed(f"request {request.request_id} failed: {reason}")
 
 
-async def _read_buffered(answer: Answer) -> Reply:
+async def _read_buffered(response: BackendResponse) -> Reply:
     """Read the body, up to the buffer limit."""
     parts: list[bytes] = []
     size_bytes = 0
-    while data := await answer.chunk():
+    while data := await response.chunk():
         parts.append(data)
         size_bytes += len(data)
         if size_bytes > _MAX_BUFFERED_BYTES:
-            return Reply(answer.status, answer.headers, b"".join(parts), answer)
-    return Reply(answer.status, answer.headers, b"".join(parts), None)
+            return Reply(response.status, response.headers, b"".join(parts), response)
+    return Reply(response.status, response.headers, b"".join(parts), None)
--- a/src/verbenawind/standins/opaque_engines.py
+++ b/src/verbenawind/standins/opaque_engines.py
@@ -55,7 +55,7 @@
 
 
 class _Answer:
-    """A response of an engine; implements the Answer port."""
+    """A response of an engine; implements the BackendResponse port."""
 
     def __init__(
         self, engine: OpaqueEngine, attempt: Attempt, status: int, *, refused: bool = False
@@ -78,7 +78,7 @@
 
     @property
     def signed(self) -> bool:
-        """Whether the response carries the server's stamp; always true."""
+        """Whether the response carries the server's signature header; always true."""
         return True
 
     @property
